--- a/crates/emulator/src/baselines.rs
+++ b/crates/emulator/src/baselines.rs
@@ -6,7 +6,7 @@
 use crate::policy::{Policy, Start};
 use crate::spec::{Effect, World};
 use rand::RngExt;
-use scalebarrow::{Entry, ListMode, Outbox, Outcome};
+use scalebarrow::{ActionSink, ListUpdate, ListedEndpoint, Outcome};
 use std::collections::BTreeMap;
 
 /// How a baseline chooses among the endpoints of a destination.
@@ -76,14 +76,14 @@
         self.dests.values_mut().flatten().find(|r| r.ep == ep)
     }
 
-    fn give_up(&mut self, id: u64, out: &mut dyn Outbox) {
+    fn give_up(&mut self, id: u64, out: &mut dyn ActionSink) {
         let Some(h) = self.held.remove(&id) else { return };
         let t = &self.world.event_types[h.event_type];
         let no_harm = t.effect == Effect::Idempotent || (t.effect == Effect::Tokened && t.by_all);
         if h.ran.is_none() || no_harm { out.reject(id, 0.0) } else { out.dead_letter(id) }
     }
 
-    fn try_send(&mut self, now: f64, id: u64, out: &mut dyn Outbox) {
+    fn try_send(&mut self, now: f64, id: u64, out: &mut dyn ActionSink) {
         let Some(h) = self.held.get(&id).filter(|h| !h.out) else { return };
         let t = &self.world.event_types[h.event_type];
         let ends = match (&h.ran, t.effect) {
@@ -126,31 +126,31 @@
         routes[at].out += 1;
         // An attempt has as long as the target latency.
         let stop = (now + t.target_s).min(h.ttl_at - 0.005);
-        out.attempt(id, &routes[at].ep, stop);
+        out.start_attempt(id, &routes[at].ep, stop);
         if let Some(h) = self.held.get_mut(&id) {
             (h.out, h.tries) = (true, h.tries + 1);
         }
     }
 
-    fn later(&mut self, now: f64, id: u64, at: f64, ends: f64, out: &mut dyn Outbox) {
-        if at >= ends - 0.01 { self.give_up(id, out) } else { out.wake(at - now, id) }
+    fn later(&mut self, now: f64, id: u64, at: f64, ends: f64, out: &mut dyn ActionSink) {
+        if at >= ends - 0.01 { self.give_up(id, out) } else { out.schedule_wake(at - now, id) }
     }
 }
 
 impl Policy for Baseline {
-    fn list(&mut self, _now: f64, mode: ListMode, entries: &[Entry], out: &mut dyn Outbox) {
+    fn list(&mut self, _now: f64, mode: ListUpdate, entries: &[ListedEndpoint], out: &mut dyn ActionSink) {
         match mode {
-            ListMode::Refused => return out.wake(0.5, 0),
-            ListMode::Remembered if self.world.list.ask => out.watch(true),
-            ListMode::Whole => self.dests.values_mut().flatten().for_each(|r| r.ready = false),
-            ListMode::Remembered | ListMode::Changes => {}
+            ListUpdate::Refused => return out.schedule_wake(0.5, 0),
+            ListUpdate::Remembered if self.world.list.ask => out.watch_list(true),
+            ListUpdate::Whole => self.dests.values_mut().flatten().for_each(|r| r.ready = false),
+            ListUpdate::Remembered | ListUpdate::Changes => {}
         }
         for e in entries {
-            let routes = self.dests.entry(e.dest).or_default();
-            match routes.iter_mut().find(|r| r.ep == e.ep) {
+            let routes = self.dests.entry(e.destination).or_default();
+            match routes.iter_mut().find(|r| r.ep == e.endpoint) {
                 Some(r) => r.ready = e.ready,
                 None => {
-                    let (ep, zone) = (e.ep.into(), e.zone.into());
+                    let (ep, zone) = (e.endpoint.into(), e.zone.into());
                     routes.push(Route { ep, zone, ready: e.ready, out: 0, waits: 0.0 });
                 }
             }
@@ -159,7 +159,7 @@
 
     fn webhook(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, _key: Option<&str>,
-        _customer: Option<&str>, left: f64, out: &mut dyn Outbox,
+        _customer: Option<&str>, left: f64, out: &mut dyn ActionSink,
     ) {
         let event_type = self.world.event_types.iter().position(|t| t.name == event_type).unwrap_or(0);
         self.held.insert(id, Held { event_type, dest, ttl_at: now + left, tries: 0, ran: None, out: false });
@@ -168,7 +168,7 @@
 
     fn resumed(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, _key: Option<&str>,
-        _customer: Option<&str>, left: f64, tries: u32, ran: Option<(&str, f64)>, out: &mut dyn Outbox,
+        _customer: Option<&str>, left: f64, tries: u32, ran: Option<(&str, f64)>, out: &mut dyn ActionSink,
     ) {
         let event_type = self.world.event_types.iter().position(|t| t.name == event_type).unwrap_or(0);
         let ran = ran.map(|(zone, at)| (zone.into(), at));
@@ -176,11 +176,11 @@
         self.try_send(now, id, out);
     }
 
-    fn closing(&mut self, _now: f64, _by: f64, _out: &mut dyn Outbox) {}
+    fn closing(&mut self, _now: f64, _by: f64, _out: &mut dyn ActionSink) {}
 
     fn outcome(
         &mut self, now: f64, id: u64, ep: &str, outcome: Outcome, took: f64, ended: bool,
-        _report: Option<(f64, f64)>, out: &mut dyn Outbox,
+        _report: Option<(f64, f64)>, out: &mut dyn ActionSink,
     ) {
         let mut zone = String::new();
         if let Some(r) = self.route(ep) {
@@ -215,17 +215,17 @@
         self.later(now, id, at, ends, out);
     }
 
-    fn told_wait(&mut self, now: f64, ep: &str, wait: f64, _out: &mut dyn Outbox) {
+    fn told_wait(&mut self, now: f64, ep: &str, wait: f64, _out: &mut dyn ActionSink) {
         let all = self.dests.values_mut().find(|rs| rs.iter().any(|r| r.ep == ep));
         all.into_iter().flatten().for_each(|r| r.waits = r.waits.max(now + wait + 0.001));
     }
 
-    fn withdrawn(&mut self, _now: f64, id: u64, _out: &mut dyn Outbox) {
+    fn withdrawn(&mut self, _now: f64, id: u64, _out: &mut dyn ActionSink) {
         self.held.remove(&id);
     }
 
-    fn woken(&mut self, now: f64, handle: u64, out: &mut dyn Outbox) {
-        if handle == 0 { out.watch(true) } else { self.try_send(now, handle, out) }
+    fn woken(&mut self, now: f64, handle: u64, out: &mut dyn ActionSink) {
+        if handle == 0 { out.watch_list(true) } else { self.try_send(now, handle, out) }
     }
 }
 
@@ -237,30 +237,30 @@
 }
 
 impl Policy for Straight {
-    fn list(&mut self, _now: f64, _mode: ListMode, entries: &[Entry], _out: &mut dyn Outbox) {
+    fn list(&mut self, _now: f64, _mode: ListUpdate, entries: &[ListedEndpoint], _out: &mut dyn ActionSink) {
         for e in entries {
-            self.first.entry(e.dest).or_insert_with(|| e.ep.into());
+            self.first.entry(e.destination).or_insert_with(|| e.endpoint.into());
         }
     }
     fn webhook(
         &mut self, now: f64, id: u64, _evt: &str, dest: u64, _key: Option<&str>, _customer: Option<&str>,
-        left: f64, out: &mut dyn Outbox,
+        left: f64, out: &mut dyn ActionSink,
     ) {
         match self.first.get(&dest) {
-            Some(ep) => out.attempt(id, ep, now + left),
+            Some(ep) => out.start_attempt(id, ep, now + left),
             None => out.reject(id, 0.0),
         }
     }
     fn resumed(
         &mut self, _now: f64, id: u64, _evt: &str, _dest: u64, _key: Option<&str>, _customer: Option<&str>,
-        _left: f64, _tries: u32, _ran: Option<(&str, f64)>, out: &mut dyn Outbox,
+        _left: f64, _tries: u32, _ran: Option<(&str, f64)>, out: &mut dyn ActionSink,
     ) {
         out.dead_letter(id);
     }
-    fn closing(&mut self, _now: f64, _by: f64, _out: &mut dyn Outbox) {}
+    fn closing(&mut self, _now: f64, _by: f64, _out: &mut dyn ActionSink) {}
     fn outcome(
         &mut self, _now: f64, id: u64, _ep: &str, outcome: Outcome, _took: f64, ended: bool,
-        _report: Option<(f64, f64)>, out: &mut dyn Outbox,
+        _report: Option<(f64, f64)>, out: &mut dyn ActionSink,
     ) {
         match outcome {
             _ if ended => {}
@@ -268,7 +268,7 @@
             _ => out.dead_letter(id),
         }
     }
-    fn told_wait(&mut self, _now: f64, _ep: &str, _wait: f64, _out: &mut dyn Outbox) {}
-    fn withdrawn(&mut self, _now: f64, _id: u64, _out: &mut dyn Outbox) {}
-    fn woken(&mut self, _now: f64, _handle: u64, _out: &mut dyn Outbox) {}
+    fn told_wait(&mut self, _now: f64, _ep: &str, _wait: f64, _out: &mut dyn ActionSink) {}
+    fn withdrawn(&mut self, _now: f64, _id: u64, _out: &mut dyn ActionSink) {}
+    fn woken(&mut self, _now: f64, _handle: u64, _out: &mut dyn ActionSink) {}
 }
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -3,7 +3,7 @@
 use crate::fleet::Listed;
 use crate::policy::Policy;
 use crate::queue::Nanos;
-use scalebarrow::Outbox;
+use scalebarrow::ActionSink;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a policy asked for, in its order.
@@ -33,14 +33,14 @@
     }
 }
 
-impl Outbox for Desk {
-    fn attempt(&mut self, webhook: u64, ep: &str, stop_at: f64) {
+impl ActionSink for Desk {
+    fn start_attempt(&mut self, webhook: u64, ep: &str, stop_at: f64) {
         match self.number(ep) {
             Some(ep) => self.acts.push(Act::Attempt { webhook, ep, stop_at }),
             None => self.acts.push(Act::Log(format!("attempt of {webhook} at {ep}, which does not exist"))),
         }
     }
-    fn call_off(&mut self, webhook: u64, hop: u32) {
+    fn cancel_attempt(&mut self, webhook: u64, hop: u32) {
         self.acts.push(Act::CallOff { webhook, hop });
     }
     fn reject(&mut self, webhook: u64, come_back: f64) {
@@ -49,13 +49,13 @@
     fn dead_letter(&mut self, webhook: u64) {
         self.acts.push(Act::DeadLetter { webhook });
     }
-    fn wake(&mut self, after: f64, handle: u64) {
+    fn schedule_wake(&mut self, after: f64, handle: u64) {
         self.acts.push(Act::Wake { after, handle });
     }
-    fn watch(&mut self, on: bool) {
+    fn watch_list(&mut self, on: bool) {
         self.acts.push(Act::Watch(on));
     }
-    fn close_idle(&mut self, ep: &str) {
+    fn close_idle_connections(&mut self, ep: &str) {
         if let Some(ep) = self.number(ep) {
             self.acts.push(Act::CloseIdle { ep });
         }
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -1,70 +1,70 @@
 //! What decides for a sender: the module through its interface, or a baseline to measure it against.
 
 use crate::spec::{Effect as E, World};
-use scalebarrow::{Effect, Entry, ListMode, Outbox, Outcome, Sender};
+use scalebarrow::{ActionSink, ListUpdate, ListedEndpoint, Outcome, RepeatSafety, Sender};
 
 /// The inputs of a sender's decisions, as [`scalebarrow::Sender`] has them.
 #[allow(clippy::too_many_arguments)]
 pub trait Policy {
-    fn list(&mut self, now: f64, mode: ListMode, entries: &[Entry], out: &mut dyn Outbox);
+    fn list(&mut self, now: f64, mode: ListUpdate, entries: &[ListedEndpoint], out: &mut dyn ActionSink);
     fn webhook(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, key: Option<&str>, customer: Option<&str>,
-        left: f64, out: &mut dyn Outbox,
+        left: f64, out: &mut dyn ActionSink,
     );
     fn resumed(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, key: Option<&str>, customer: Option<&str>,
-        left: f64, tries: u32, ran: Option<(&str, f64)>, out: &mut dyn Outbox,
+        left: f64, tries: u32, ran: Option<(&str, f64)>, out: &mut dyn ActionSink,
     );
-    fn closing(&mut self, now: f64, by: f64, out: &mut dyn Outbox);
+    fn closing(&mut self, now: f64, by: f64, out: &mut dyn ActionSink);
     /// Whether an attempt still goes out now that its connection is up.
     fn may_go(&self, _now: f64, _id: u64, _ep: &str) -> bool {
         true
     }
     fn outcome(
         &mut self, now: f64, id: u64, ep: &str, outcome: Outcome, took: f64, ended: bool,
-        report: Option<(f64, f64)>, out: &mut dyn Outbox,
+        report: Option<(f64, f64)>, out: &mut dyn ActionSink,
     );
-    fn told_wait(&mut self, now: f64, ep: &str, wait: f64, out: &mut dyn Outbox);
-    fn withdrawn(&mut self, now: f64, id: u64, out: &mut dyn Outbox);
-    fn woken(&mut self, now: f64, handle: u64, out: &mut dyn Outbox);
+    fn told_wait(&mut self, now: f64, ep: &str, wait: f64, out: &mut dyn ActionSink);
+    fn withdrawn(&mut self, now: f64, id: u64, out: &mut dyn ActionSink);
+    fn woken(&mut self, now: f64, handle: u64, out: &mut dyn ActionSink);
 }
 
 impl Policy for Sender {
-    fn list(&mut self, now: f64, mode: ListMode, entries: &[Entry], out: &mut dyn Outbox) {
-        Sender::list(self, now, mode, entries, out);
+    fn list(&mut self, now: f64, mode: ListUpdate, entries: &[ListedEndpoint], out: &mut dyn ActionSink) {
+        Sender::update_list(self, now, mode, entries, out);
     }
     fn webhook(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, key: Option<&str>, customer: Option<&str>,
-        left: f64, out: &mut dyn Outbox,
+        left: f64, out: &mut dyn ActionSink,
     ) {
-        Sender::webhook(self, now, id, event_type, dest, key, customer, left, out);
+        Sender::accept(self, now, id, event_type, dest, key, customer, left, out);
     }
     fn resumed(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, key: Option<&str>, customer: Option<&str>,
-        left: f64, tries: u32, ran: Option<(&str, f64)>, out: &mut dyn Outbox,
+        left: f64, tries: u32, ran: Option<(&str, f64)>, out: &mut dyn ActionSink,
     ) {
-        Sender::resumed(self, now, id, event_type, dest, key, customer, left, tries, ran, out);
+        Sender::resume(self, now, id, event_type, dest, key, customer, left, tries, ran, out);
     }
-    fn closing(&mut self, now: f64, by: f64, out: &mut dyn Outbox) {
-        Sender::closing(self, now, by, out);
+    fn closing(&mut self, now: f64, by: f64, out: &mut dyn ActionSink) {
+        Sender::begin_shutdown(self, now, by, out);
     }
     fn may_go(&self, now: f64, id: u64, ep: &str) -> bool {
-        Sender::may_go(self, now, id, ep)
+        Sender::may_send(self, now, id, ep)
     }
     fn outcome(
         &mut self, now: f64, id: u64, ep: &str, outcome: Outcome, took: f64, ended: bool,
-        report: Option<(f64, f64)>, out: &mut dyn Outbox,
+        report: Option<(f64, f64)>, out: &mut dyn ActionSink,
     ) {
-        Sender::outcome(self, now, id, ep, outcome, took, ended, report, out);
+        Sender::attempt_ended(self, now, id, ep, outcome, took, ended, report, out);
     }
-    fn told_wait(&mut self, now: f64, ep: &str, wait: f64, out: &mut dyn Outbox) {
-        Sender::told_wait(self, now, ep, wait, out);
+    fn told_wait(&mut self, now: f64, ep: &str, wait: f64, out: &mut dyn ActionSink) {
+        Sender::wait_requested(self, now, ep, wait, out);
     }
-    fn withdrawn(&mut self, now: f64, id: u64, out: &mut dyn Outbox) {
-        Sender::withdrawn(self, now, id, out);
+    fn withdrawn(&mut self, now: f64, id: u64, out: &mut dyn ActionSink) {
+        Sender::withdraw(self, now, id, out);
     }
-    fn woken(&mut self, now: f64, handle: u64, out: &mut dyn Outbox) {
-        Sender::woken(self, now, handle, out);
+    fn woken(&mut self, now: f64, handle: u64, out: &mut dyn ActionSink) {
+        Sender::wake(self, now, handle, out);
     }
 }
 
@@ -83,27 +83,27 @@
 /// The decision module, told the world's settings.
 pub fn module(start: Start) -> Box<dyn Policy> {
     let w = start.world;
-    let mut s = Sender::open(start.now, start.seed, start.number as u64, w.senders.count as u64);
+    let mut s = Sender::new(start.now, start.seed, start.number as u64, w.senders.count as u64);
     for t in &w.event_types {
         s.set_event_type(&t.name, t.target_s, t.ttl_s, t.value, t.late, t.halves);
         let effect = match t.effect {
-            E::Idempotent => Effect::Idempotent,
-            E::Tokened => Effect::Tokened,
-            E::AtMostOnce => Effect::AtMostOnce,
+            E::Idempotent => RepeatSafety::Idempotent,
+            E::Tokened => RepeatSafety::Tokened,
+            E::AtMostOnce => RepeatSafety::AtMostOnce,
         };
-        s.set_effect(&t.name, effect, t.known_s, t.by_all, t.ordered);
+        s.set_repeat_safety(&t.name, effect, t.known_s, t.by_all, t.ordered);
     }
     for k in &w.kinds {
-        s.set_kind(&k.name, k.batch, k.apart);
+        s.set_destination_kind(&k.name, k.batch, k.apart);
     }
     for c in &w.customers {
         s.set_customer(&c.name, c.quota, c.over);
     }
     s.set_limits(w.senders.slots, w.senders.holds, w.senders.attempts, w.senders.may_call_off);
-    s.set_come_back(w.senders.come_back_s);
-    s.set_list(w.list.ask, w.list.within_s, 4.0 * w.list.within_s);
-    s.set_cold(w.rules.cold_from, w.rules.warm_s, w.rules.fall_multiple, w.rules.fall_s);
-    s.set_idle(w.senders.idle_s);
-    s.set_key_rest(w.rules.key_rest_s);
+    s.set_max_retry_after(w.senders.come_back_s);
+    s.set_list_watch(w.list.ask, w.list.within_s, 4.0 * w.list.within_s);
+    s.set_cold_start(w.rules.cold_from, w.rules.warm_s, w.rules.fall_multiple, w.rules.fall_s);
+    s.set_idle_timeout(w.senders.idle_s);
+    s.set_key_cooldown(w.rules.key_rest_s);
     Box::new(s)
 }
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -18,7 +18,7 @@
 use crate::spec::{Curve, Effect, Fault, What, World};
 use hdrhistogram::Histogram;
 use rand::RngExt;
-use scalebarrow::{Entry, ListMode, Outcome};
+use scalebarrow::{ListUpdate, ListedEndpoint, Outcome};
 
 /// Why the event of a call is no longer its own: places of calls are used again.
 type Place = (u32, u32);
@@ -76,7 +76,7 @@
     News {
         sender: u32,
         life: u32,
-        mode: ListMode,
+        mode: ListUpdate,
         items: Vec<(u32, Listed)>,
     },
     Begin {
--- a/crates/emulator/src/run/endpoint_list.rs
+++ b/crates/emulator/src/run/endpoint_list.rs
@@ -13,7 +13,7 @@
     }
 
     /// Sends a part of the list to a sender; parts come in order.
-    pub(super) fn send_list(&mut self, now: Nanos, sender: u32, mode: ListMode, items: Vec<(u32, Listed)>) {
+    pub(super) fn send_list(&mut self, now: Nanos, sender: u32, mode: ListUpdate, items: Vec<(u32, Listed)>) {
         let mut at = now + nanos(self.world.list.delay.draw(&mut self.chance.list));
         if let Some(late) = self.faults.at_sender(now, sender, What::ListLate) {
             at += nanos(late.size);
@@ -32,7 +32,7 @@
             let h = &self.hosts[sender as usize];
             if h.up() && (!self.world.list.ask || h.watching) {
                 let items = endpoints.iter().map(|e| (*e, self.listed(sender, *e))).collect();
-                self.send_list(now, sender, ListMode::Changes, items);
+                self.send_list(now, sender, ListUpdate::Changes, items);
             }
         }
     }
@@ -44,14 +44,14 @@
         } else if self.faults.at_sender(now, sender, What::ListRefused).is_some() {
             let after = nanos(self.world.list.delay.draw(&mut self.chance.list));
             let items = Vec::new();
-            self.queue.put(now + after, Event::News { sender, life, mode: ListMode::Refused, items });
+            self.queue.put(now + after, Event::News { sender, life, mode: ListUpdate::Refused, items });
         } else {
             self.hosts[sender as usize].watching = true;
-            self.send_list(now, sender, ListMode::Whole, self.whole_list(sender));
+            self.send_list(now, sender, ListUpdate::Whole, self.whole_list(sender));
         }
     }
 
-    pub(super) fn news(&mut self, now: Nanos, sender: u32, mode: ListMode, items: &[(u32, Listed)]) {
+    pub(super) fn news(&mut self, now: Nanos, sender: u32, mode: ListUpdate, items: &[(u32, Listed)]) {
         for (ep, l) in items {
             let known = &mut self.hosts[sender as usize].known[*ep as usize];
             let changed = known.ready != l.ready;
@@ -63,23 +63,24 @@
         self.tell(now, sender, mode, items);
     }
 
-    pub(super) fn tell(&mut self, now: Nanos, sender: u32, mode: ListMode, items: &[(u32, Listed)]) {
+    pub(super) fn tell(&mut self, now: Nanos, sender: u32, mode: ListUpdate, items: &[(u32, Listed)]) {
         let world = self.world;
         let names = std::mem::take(&mut self.fleet.names);
         let zones = std::mem::take(&mut self.fleet.zones);
         let entry = |(ep, l): &(u32, Listed)| {
             let e = &self.fleet.endpoints[*ep as usize];
-            Entry {
-                ep: &names[*ep as usize],
+            ListedEndpoint {
+                endpoint: &names[*ep as usize],
                 zone: &zones[usize::from(e.zone)],
-                kind: &world.kinds[usize::from(self.fleet.destinations[e.dest as usize].kind)].name,
-                dest: u64::from(e.dest),
+                destination_kind: &world.kinds[usize::from(self.fleet.destinations[e.dest as usize].kind)]
+                    .name,
+                destination: u64::from(e.dest),
                 ready: l.ready,
-                rate: l.rate,
-                born: 0.0,
+                rate_limit: l.rate,
+                started_at: 0.0,
             }
         };
-        let entries: Vec<Entry> = items.iter().map(entry).collect();
+        let entries: Vec<ListedEndpoint> = items.iter().map(entry).collect();
         self.input(sender, |p, out| p.list(seconds(now), mode, &entries, out));
         (self.fleet.names, self.fleet.zones) = (names, zones);
     }
--- a/crates/emulator/src/run/senders.rs
+++ b/crates/emulator/src/run/senders.rs
@@ -120,7 +120,7 @@
         h.policy = Some((self.maker)(start));
         self.log(Log::Started { sender });
         let known: Vec<(u32, Listed)> = numbered(&self.hosts[sender as usize].known);
-        self.tell(now, sender, ListMode::Remembered, &known);
+        self.tell(now, sender, ListUpdate::Remembered, &known);
         let open: Vec<u64> = self.hosts[sender as usize].open.iter().copied().collect();
         for webhook in open {
             let hook = &self.hooks[webhook as usize - 1];
@@ -130,7 +130,7 @@
             }
         }
         if !self.world.list.ask && now > 0 {
-            self.send_list(now, sender, ListMode::Whole, self.whole_list(sender));
+            self.send_list(now, sender, ListUpdate::Whole, self.whole_list(sender));
         }
     }
 
--- a/crates/emulator/src/run/troubles.rs
+++ b/crates/emulator/src/run/troubles.rs
@@ -26,7 +26,7 @@
                 for s in senders {
                     let h = &mut self.hosts[s as usize];
                     if std::mem::take(&mut h.watching) {
-                        let (life, mode, items) = (h.life, ListMode::Refused, Vec::new());
+                        let (life, mode, items) = (h.life, ListUpdate::Refused, Vec::new());
                         self.queue.put(now, Event::News { sender: s, life, mode, items });
                     }
                 }
--- a/crates/emulator/tests/helpers/mod.rs
+++ b/crates/emulator/tests/helpers/mod.rs
@@ -1,7 +1,7 @@
 //! Worlds that tests begin with, and policies that break one rule each.
 #![allow(dead_code)]
 
-use scalebarrow::{Entry, ListMode, Outbox, Outcome};
+use scalebarrow::{ActionSink, ListUpdate, ListedEndpoint, Outcome};
 use scalebarrow_emulator::chance::{Shape, Spread};
 use scalebarrow_emulator::policy::{Policy, Start};
 use scalebarrow_emulator::spec::*;
@@ -150,7 +150,7 @@
         move |_| Careful::open(flaw)
     }
 
-    fn settle(&mut self, now: f64, out: &mut dyn Outbox) {
+    fn settle(&mut self, now: f64, out: &mut dyn ActionSink) {
         let ids: Vec<u64> = self.items.keys().copied().collect();
         for id in ids {
             let i = &self.items[&id];
@@ -197,7 +197,7 @@
             let drains = self.flaw == Flaw::Drains;
             let eps = self.eps.get(&dest).into_iter().flatten();
             let Some((ep, _)) = eps.clone().find(|e| e.1 || drains) else { continue };
-            out.attempt(id, ep, i.ttl_at);
+            out.start_attempt(id, ep, i.ttl_at);
             self.sent_at.insert(dest, now);
             let i = self.items.get_mut(&id).unwrap();
             (i.out, i.tries) = (true, i.tries + 1);
@@ -207,22 +207,22 @@
 }
 
 impl Policy for Careful {
-    fn list(&mut self, now: f64, _mode: ListMode, entries: &[Entry], out: &mut dyn Outbox) {
+    fn list(&mut self, now: f64, _mode: ListUpdate, entries: &[ListedEndpoint], out: &mut dyn ActionSink) {
         for e in entries {
-            let eps = self.eps.entry(e.dest).or_default();
-            match eps.iter_mut().find(|x| x.0 == e.ep) {
+            let eps = self.eps.entry(e.destination).or_default();
+            match eps.iter_mut().find(|x| x.0 == e.endpoint) {
                 Some(x) => x.1 = e.ready,
-                None => eps.push((e.ep.into(), e.ready)),
+                None => eps.push((e.endpoint.into(), e.ready)),
             }
         }
         self.settle(now, out);
         if now == 0.0 {
-            out.wake(0.05, 0);
+            out.schedule_wake(0.05, 0);
         }
     }
     fn webhook(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, key: Option<&str>,
-        _customer: Option<&str>, left: f64, out: &mut dyn Outbox,
+        _customer: Option<&str>, left: f64, out: &mut dyn ActionSink,
     ) {
         let key = key.map(Into::into);
         let event_type = event_type.into();
@@ -234,7 +234,7 @@
     }
     fn resumed(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, key: Option<&str>, customer: Option<&str>,
-        left: f64, _tries: u32, ran: Option<(&str, f64)>, out: &mut dyn Outbox,
+        left: f64, _tries: u32, ran: Option<(&str, f64)>, out: &mut dyn ActionSink,
     ) {
         if ran.is_some() {
             out.dead_letter(id);
@@ -242,10 +242,10 @@
             self.webhook(now, id, event_type, dest, key, customer, left, out);
         }
     }
-    fn closing(&mut self, _now: f64, _by: f64, _out: &mut dyn Outbox) {}
+    fn closing(&mut self, _now: f64, _by: f64, _out: &mut dyn ActionSink) {}
     fn outcome(
         &mut self, now: f64, id: u64, ep: &str, outcome: Outcome, _took: f64, ended: bool,
-        _report: Option<(f64, f64)>, out: &mut dyn Outbox,
+        _report: Option<(f64, f64)>, out: &mut dyn ActionSink,
     ) {
         let dest = self.eps.iter().find(|(_, eps)| eps.iter().any(|e| e.0 == ep)).map_or(0, |d| *d.0);
         *self.busy.entry(dest).or_default() -= 1;
@@ -274,20 +274,20 @@
         }
         self.settle(now, out);
     }
-    fn told_wait(&mut self, now: f64, ep: &str, wait: f64, _out: &mut dyn Outbox) {
+    fn told_wait(&mut self, now: f64, ep: &str, wait: f64, _out: &mut dyn ActionSink) {
         let dest = self.eps.iter().find(|(_, eps)| eps.iter().any(|e| e.0 == ep)).map_or(0, |d| *d.0);
         let until = now + wait + 0.001;
         let q = self.quiet.entry(dest).or_default();
         *q = q.max(until);
     }
-    fn withdrawn(&mut self, now: f64, id: u64, out: &mut dyn Outbox) {
+    fn withdrawn(&mut self, now: f64, id: u64, out: &mut dyn ActionSink) {
         if self.items.get(&id).is_some_and(|i| !i.out) {
             self.items.remove(&id);
         }
         self.settle(now, out);
     }
-    fn woken(&mut self, now: f64, _handle: u64, out: &mut dyn Outbox) {
+    fn woken(&mut self, now: f64, _handle: u64, out: &mut dyn ActionSink) {
         self.settle(now, out);
-        out.wake(0.05, 0);
+        out.schedule_wake(0.05, 0);
     }
 }
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -3,7 +3,7 @@
 use crate::experiment::Experiment;
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
-use scalebarrow::{Entry, ListMode, Outbox, Outcome};
+use scalebarrow::{ActionSink, ListUpdate, ListedEndpoint, Outcome};
 use scalebarrow_emulator::baselines::named;
 use scalebarrow_emulator::events::Line;
 use scalebarrow_emulator::policy::{Policy, Start};
@@ -43,7 +43,7 @@
 }
 
 impl Policy for Timed {
-    fn list(&mut self, now: f64, mode: ListMode, entries: &[Entry], out: &mut dyn Outbox) {
+    fn list(&mut self, now: f64, mode: ListUpdate, entries: &[ListedEndpoint], out: &mut dyn ActionSink) {
         // A list is no matter of the cost of a decision: it has a figure of its own.
         let began = Instant::now();
         self.policy.list(now, mode, entries, out);
@@ -52,17 +52,17 @@
     }
     fn webhook(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, key: Option<&str>, customer: Option<&str>,
-        left: f64, out: &mut dyn Outbox,
+        left: f64, out: &mut dyn ActionSink,
     ) {
         self.time(|p| p.webhook(now, id, event_type, dest, key, customer, left, out));
     }
     fn resumed(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, key: Option<&str>, customer: Option<&str>,
-        left: f64, tries: u32, ran: Option<(&str, f64)>, out: &mut dyn Outbox,
+        left: f64, tries: u32, ran: Option<(&str, f64)>, out: &mut dyn ActionSink,
     ) {
         self.time(|p| p.resumed(now, id, event_type, dest, key, customer, left, tries, ran, out));
     }
-    fn closing(&mut self, now: f64, by: f64, out: &mut dyn Outbox) {
+    fn closing(&mut self, now: f64, by: f64, out: &mut dyn ActionSink) {
         self.time(|p| p.closing(now, by, out));
     }
     fn may_go(&self, now: f64, id: u64, ep: &str) -> bool {
@@ -70,17 +70,17 @@
     }
     fn outcome(
         &mut self, now: f64, id: u64, ep: &str, outcome: Outcome, took: f64, ended: bool,
-        report: Option<(f64, f64)>, out: &mut dyn Outbox,
+        report: Option<(f64, f64)>, out: &mut dyn ActionSink,
     ) {
         self.time(|p| p.outcome(now, id, ep, outcome, took, ended, report, out));
     }
-    fn told_wait(&mut self, now: f64, ep: &str, wait: f64, out: &mut dyn Outbox) {
+    fn told_wait(&mut self, now: f64, ep: &str, wait: f64, out: &mut dyn ActionSink) {
         self.time(|p| p.told_wait(now, ep, wait, out));
     }
-    fn withdrawn(&mut self, now: f64, id: u64, out: &mut dyn Outbox) {
+    fn withdrawn(&mut self, now: f64, id: u64, out: &mut dyn ActionSink) {
         self.time(|p| p.withdrawn(now, id, out));
     }
-    fn woken(&mut self, now: f64, handle: u64, out: &mut dyn Outbox) {
+    fn woken(&mut self, now: f64, handle: u64, out: &mut dyn ActionSink) {
         self.time(|p| p.woken(now, handle, out));
     }
 }
--- a/crates/sender/src/bridge.rs
+++ b/crates/sender/src/bridge.rs
@@ -11,7 +11,7 @@
 use crate::list::{Health, News};
 use crate::notices::Notices;
 use crate::withheld::{RETRY_PAUSE, Withheld};
-use scalebarrow::{Entry, ListMode, Outbox, Outcome, Sender};
+use scalebarrow::{ActionSink, ListUpdate, ListedEndpoint, Outcome, Sender};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -47,12 +47,12 @@
     actions: Vec<Action>,
 }
 
-impl Outbox for Asked {
-    fn attempt(&mut self, webhook: u64, ep: &str, stop_at: f64) {
+impl ActionSink for Asked {
+    fn start_attempt(&mut self, webhook: u64, ep: &str, stop_at: f64) {
         self.attempts.push((webhook, ep.to_owned(), stop_at));
     }
     // Never two attempts for a webhook at once: the number alone tells which is meant.
-    fn call_off(&mut self, webhook: u64, _hop: u32) {
+    fn cancel_attempt(&mut self, webhook: u64, _hop: u32) {
         self.actions.push(Action::CallOff(webhook));
     }
     fn reject(&mut self, webhook: u64, come_back: f64) {
@@ -61,13 +61,13 @@
     fn dead_letter(&mut self, webhook: u64) {
         self.ends.push((webhook, End::DeadLettered));
     }
-    fn wake(&mut self, after: f64, _handle: u64) {
+    fn schedule_wake(&mut self, after: f64, _handle: u64) {
         self.actions.push(Action::Wake(after));
     }
-    fn watch(&mut self, on: bool) {
+    fn watch_list(&mut self, on: bool) {
         self.actions.push(Action::Watch(on));
     }
-    fn close_idle(&mut self, ep: &str) {
+    fn close_idle_connections(&mut self, ep: &str) {
         self.actions.push(Action::CloseIdle(ep.to_owned()));
     }
     fn log(&mut self, text: &str) {
@@ -236,7 +236,7 @@
         let ran = tries.ran.as_ref().or(tries.out.as_ref()).map(|(zone, at)| (zone.as_str(), *at));
         let (key, customer) = (webhook.order_key.as_deref(), webhook.customer.as_deref());
         let (event_type, dest, out) = (&webhook.event_type, webhook.dest, &mut self.asked);
-        self.sender.resumed(now, number, event_type, dest, key, customer, left, tries.count, ran, out);
+        self.sender.resume(now, number, event_type, dest, key, customer, left, tries.count, ran, out);
         self.settle(now);
     }
 
@@ -332,7 +332,7 @@
             return self.take_behind(number, webhook, key);
         }
         let (key, customer) = (webhook.order_key.as_deref(), webhook.customer.as_deref());
-        self.sender.webhook(now, number, &webhook.event_type, dest, key, customer, left, &mut self.asked);
+        self.sender.accept(now, number, &webhook.event_type, dest, key, customer, left, &mut self.asked);
         let at_once = self.asked.ends.iter().find(|e| e.0 == number).map(|e| e.1);
         let id = webhook.id.clone();
         let taken = at_once.is_none().then(|| self.journal.take(number, webhook));
@@ -351,7 +351,7 @@
             (None, Some(Err(e))) => {
                 self.counters.count(Transition::NoRoom);
                 error!(code = "journal-write", %e, "a webhook could not be taken on");
-                self.sender.withdrawn(now, number, &mut self.asked);
+                self.sender.withdraw(now, number, &mut self.asked);
                 self.settle(now);
                 (Reply::NoRoom, None)
             }
@@ -389,7 +389,7 @@
         if let Err(e) = self.journal.withdraw(number) {
             warn!(code = "journal-write", %e, "a withdrawal could not be written; it may come again after a restart");
         }
-        self.sender.withdrawn(now, number, &mut self.asked);
+        self.sender.withdraw(now, number, &mut self.asked);
         self.settle(now);
     }
 
@@ -402,14 +402,22 @@
             self.asked.actions.extend(left.map(|(host, _)| Action::CloseIdle(host)));
         }
         for h in &news.hosts {
-            let Some(dest) = h.dest else { continue };
+            let Some(destination) = h.dest else { continue };
             let ready = h.health == Health::Serving;
-            let (ep, zone, kind) = (h.host.as_str(), h.site.as_str(), h.kind.as_str());
-            let rate = h.rate.filter(|_| self.config.lists_rates()).unwrap_or(0.0);
+            let (endpoint, zone, destination_kind) = (h.host.as_str(), h.site.as_str(), h.kind.as_str());
+            let rate_limit = h.rate.filter(|_| self.config.lists_rates()).unwrap_or(0.0);
             let born_ms = h.born_ms.unwrap_or(0.0);
-            let born = self.born(now, ep, born_ms);
-            debug!(code = "endpoint", ep, dest, kind, zone, rate, born, health = ?h.health, "an endpoint is listed");
-            entries.push(Entry { ep, zone, kind, dest, ready, rate, born });
+            let started_at = self.born(now, endpoint, born_ms);
+            debug!(code = "endpoint", ep = endpoint, dest = destination, kind = destination_kind, zone, rate = rate_limit, born = started_at, health = ?h.health, "an endpoint is listed");
+            entries.push(ListedEndpoint {
+                endpoint,
+                zone,
+                destination_kind,
+                destination,
+                ready,
+                rate_limit,
+                started_at,
+            });
             if h.health == Health::Deleted {
                 self.places.remove(&h.host);
                 self.asked.actions.push(Action::CloseIdle(h.host.clone()));
@@ -422,12 +430,12 @@
             }
         }
         let mode = match (remembered, news.whole) {
-            (true, _) => ListMode::Remembered,
-            (false, true) => ListMode::Whole,
-            (false, false) => ListMode::Changes,
+            (true, _) => ListUpdate::Remembered,
+            (false, true) => ListUpdate::Whole,
+            (false, false) => ListUpdate::Changes,
         };
         debug!(code = "listed", seq = news.seq, ?mode, "the list is told");
-        self.sender.list(now, mode, &entries, &mut self.asked);
+        self.sender.update_list(now, mode, &entries, &mut self.asked);
         self.listed_at = now;
         self.settle(now);
     }
@@ -449,18 +457,18 @@
 
     /// The list could not be had.
     pub fn no_list(&mut self, now: f64) {
-        self.sender.list(now, ListMode::Refused, &[], &mut self.asked);
+        self.sender.update_list(now, ListUpdate::Refused, &[], &mut self.asked);
         self.settle(now);
     }
 
     pub fn woken(&mut self, now: f64) {
-        self.sender.woken(now, 0, &mut self.asked);
+        self.sender.wake(now, 0, &mut self.asked);
         self.settle(now);
     }
 
     /// The process will end; what is not back by then may have run.
     pub fn closing(&mut self, now: f64, by: f64) {
-        self.sender.closing(now, by, &mut self.asked);
+        self.sender.begin_shutdown(now, by, &mut self.asked);
         self.settle(now);
     }
 
@@ -475,7 +483,7 @@
                 status = answer.status,
                 "a wait was told"
             );
-            self.sender.told_wait(now, &call.ep, answer.wait, &mut self.asked);
+            self.sender.wait_requested(now, &call.ep, answer.wait, &mut self.asked);
         }
         for (webhook, ending) in call.webhooks.iter().zip(endings) {
             let CalledWebhook { number, id, attempt } = webhook;
@@ -511,7 +519,7 @@
             );
             self.log_if_may_have_run(now, *number, id, call, outcome, &before);
             let out = &mut self.asked;
-            self.sender.outcome(now, *number, &call.ep, ending.outcome, took, over, report, out);
+            self.sender.attempt_ended(now, *number, &call.ep, ending.outcome, took, over, report, out);
             self.settle(now);
         }
     }
@@ -618,7 +626,7 @@
             return GoAhead::NotNow;
         }
         for CalledWebhook { number, id, .. } in &call.webhooks {
-            if let Some(why) = self.sender.hold_back(now, *number, &call.ep) {
+            if let Some(why) = self.sender.not_sent_reason(now, *number, &call.ep) {
                 info!(code = "not-sent", id, ep = call.ep, held, ?why, "its connection came up too late");
                 self.counters.count(Transition::HeldBack);
                 return GoAhead::NotNow;
@@ -651,7 +659,7 @@
                 }
             }
         }
-        let until = call.webhooks.iter().map(|webhook| self.sender.write_until(webhook.number));
+        let until = call.webhooks.iter().map(|webhook| self.sender.write_deadline(webhook.number));
         call.write_by = until.fold(call.stop_at, f64::min);
         GoAhead::Yes
     }
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration that the platform hands a sender, checked, and handed on to the decision module.
 
 use crate::list::{self, News};
-use scalebarrow::{Effect, Sender};
+use scalebarrow::{RepeatSafety, Sender};
 use serde::{Deserialize, Deserializer, de::Error};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -266,7 +266,7 @@
 
     /// The module with all its settings, at clock time `now`.
     pub fn open(&self, now: f64) -> Sender {
-        let mut sender = Sender::open(now, self.seed, self.settings.me, self.settings.instances);
+        let mut sender = Sender::new(now, self.seed, self.settings.me, self.settings.instances);
         self.tell(&mut sender);
         sender
     }
@@ -280,21 +280,27 @@
             let (value, late) = (c.worth.unwrap_or(1.0), c.late_value.unwrap_or(0.0));
             sender.set_event_type(&c.name, target, ttl, value, late, halves);
             let effect = match c.effect {
-                RepeatEffect::Free => Effect::Idempotent,
-                RepeatEffect::Guarded => Effect::Tokened,
-                RepeatEffect::SingleShot => Effect::AtMostOnce,
+                RepeatEffect::Free => RepeatSafety::Idempotent,
+                RepeatEffect::Guarded => RepeatSafety::Tokened,
+                RepeatEffect::SingleShot => RepeatSafety::AtMostOnce,
             };
             let known_by_all = c.group.as_deref() == Some("all");
-            sender.set_effect(&c.name, effect, seconds(c.repeat_window_ms, 0.0), known_by_all, c.fifo_by_key);
+            sender.set_repeat_safety(
+                &c.name,
+                effect,
+                seconds(c.repeat_window_ms, 0.0),
+                known_by_all,
+                c.fifo_by_key,
+            );
         }
         for (i, kind) in s.models.iter().enumerate() {
             let batch = s.family_info.bundle_max.get(i).copied().unwrap_or(1);
             let apart = s.family_info.routes_apart.get(i).copied().unwrap_or(false);
-            sender.set_kind(kind, batch, apart);
+            sender.set_destination_kind(kind, batch, apart);
         }
         for zone in &s.zones {
             let own = s.locality.as_ref() == Some(zone);
-            sender.set_way(zone, if own { 0.0 } else { self.crossing_cost() });
+            sender.set_zone_cost(zone, if own { 0.0 } else { self.crossing_cost() });
         }
         for customer in &s.orgs {
             let quota = customer.quota_per_s.unwrap_or(UNBOUNDED);
@@ -302,14 +308,14 @@
         }
         sender.set_limits(s.family_info.slots, s.caps.open_cap, s.caps.max_attempts, s.caps.cancelling);
         if s.caps.retry_after {
-            sender.set_come_back(seconds(s.caps.max_retry_after_ms, 0.0));
+            sender.set_max_retry_after(seconds(s.caps.max_retry_after_ms, 0.0));
         }
-        sender.set_idle(seconds(s.caps.conn_idle_ms, UNBOUNDED));
-        sender.set_list(self.asks(), seconds(s.rules.ask_within_ms, 10.0), list::LONGEST_PAUSE);
+        sender.set_idle_timeout(seconds(s.caps.conn_idle_ms, UNBOUNDED));
+        sender.set_list_watch(self.asks(), seconds(s.rules.ask_within_ms, 10.0), list::LONGEST_PAUSE);
         let (from, warm) = (s.rules.cold_from.unwrap_or(1.0), seconds(s.rules.cold_ms, 0.0));
         let multiple = s.rules.fall_multiple.unwrap_or(1e9);
-        sender.set_cold(from, warm, multiple, seconds(s.rules.tip_after_ms, 1.0));
-        sender.set_key_rest(seconds(s.rules.key_rest_ms, 0.0));
+        sender.set_cold_start(from, warm, multiple, seconds(s.rules.tip_after_ms, 1.0));
+        sender.set_key_cooldown(seconds(s.rules.key_rest_ms, 0.0));
     }
 
     /// Calls out at once and webhooks held, at most, and the number of senders: for the log.
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -3,7 +3,7 @@
 
 mod settings;
 
-use scalebarrow::{Entry, ListMode, Outbox, Outcome, Sender};
+use scalebarrow::{ActionSink, ListUpdate, ListedEndpoint, Outcome, Sender};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -64,27 +64,27 @@
 /// The actions of one instance in one reply.
 struct Actions(Vec<Value>);
 
-impl Outbox for Actions {
-    fn attempt(&mut self, webhook: u64, ep: &str, stop_at: f64) {
-        self.0.push(json!({"kind": "Assign", "ref": webhook, "receiver": ep, "stop-at-ms": stop_at * 1e3}));
+impl ActionSink for Actions {
+    fn start_attempt(&mut self, webhook_id: u64, endpoint: &str, give_up_at: f64) {
+        self.0.push(json!({"kind": "Assign", "ref": webhook_id, "receiver": endpoint, "stop-at-ms": give_up_at * 1e3}));
     }
-    fn call_off(&mut self, webhook: u64, hop: u32) {
-        self.0.push(json!({"kind": "CallOff", "ref": webhook, "hop": hop}));
+    fn cancel_attempt(&mut self, webhook_id: u64, attempt_number: u32) {
+        self.0.push(json!({"kind": "CallOff", "ref": webhook_id, "hop": attempt_number}));
     }
-    fn reject(&mut self, webhook: u64, come_back: f64) {
-        self.0.push(json!({"kind": "PushBack", "ref": webhook, "hold-off-ms": come_back * 1e3}));
+    fn reject(&mut self, webhook_id: u64, retry_after: f64) {
+        self.0.push(json!({"kind": "PushBack", "ref": webhook_id, "hold-off-ms": retry_after * 1e3}));
     }
-    fn dead_letter(&mut self, webhook: u64) {
-        self.0.push(json!({"kind": "Abort", "ref": webhook}));
+    fn dead_letter(&mut self, webhook_id: u64) {
+        self.0.push(json!({"kind": "Abort", "ref": webhook_id}));
     }
-    fn wake(&mut self, after: f64, handle: u64) {
-        self.0.push(json!({"kind": "Sleep", "offset-ms": after * 1e3, "handle": handle}));
+    fn schedule_wake(&mut self, delay: f64, handle: u64) {
+        self.0.push(json!({"kind": "Sleep", "offset-ms": delay * 1e3, "handle": handle}));
     }
-    fn watch(&mut self, on: bool) {
-        self.0.push(json!({"kind": "Subscribe", "want": on}));
+    fn watch_list(&mut self, enabled: bool) {
+        self.0.push(json!({"kind": "Subscribe", "want": enabled}));
     }
-    fn close_idle(&mut self, ep: &str) {
-        self.0.push(json!({"kind": "FreeLinks", "receiver": ep}));
+    fn close_idle_connections(&mut self, endpoint: &str) {
+        self.0.push(json!({"kind": "FreeLinks", "receiver": endpoint}));
     }
     fn log(&mut self, text: &str) {
         self.0.push(json!({"kind": "Record", "body-text": text}));
@@ -171,32 +171,36 @@
         match kind {
             "Topology" => {
                 let mode = match text(kind, at, "mode")? {
-                    "changes" => ListMode::Changes,
-                    "all" => ListMode::Whole,
-                    "remembered" => ListMode::Remembered,
-                    "refused" => ListMode::Refused,
+                    "changes" => ListUpdate::Changes,
+                    "all" => ListUpdate::Whole,
+                    "remembered" => ListUpdate::Remembered,
+                    "refused" => ListUpdate::Refused,
                     _ => return Err((kind.into(), "mode".into(), "is not a known mode")),
                 };
                 let mut entries = Vec::new();
-                if mode != ListMode::Refused {
+                if mode != ListUpdate::Refused {
                     let rows = lists.get(&whole(kind, at, "buffer")?);
                     let rows =
                         rows.ok_or((kind.into(), "buffer".into(), "names a list that has not come"))?;
                     for row in rows {
-                        entries.push(Entry {
-                            ep: text("Ledger", row, "receiver")?,
+                        entries.push(ListedEndpoint {
+                            endpoint: text("Ledger", row, "receiver")?,
                             zone: text("Ledger", row, "locality")?,
-                            kind: text("Ledger", row, "generation-hw")?,
-                            dest: whole("Ledger", row, "owner-no")?,
+                            destination_kind: text("Ledger", row, "generation-hw")?,
+                            destination: whole("Ledger", row, "owner-no")?,
                             ready: text("Ledger", row, "state")? == "Ready",
-                            rate: if self.listed { number_if("Ledger", row, "units", 0.0)? } else { 0.0 },
-                            born: number_if("Ledger", row, "launched-ms", 0.0)? / 1e3,
+                            rate_limit: if self.listed {
+                                number_if("Ledger", row, "units", 0.0)?
+                            } else {
+                                0.0
+                            },
+                            started_at: number_if("Ledger", row, "launched-ms", 0.0)? / 1e3,
                         });
                     }
                 }
-                sender.list(now, mode, &entries, out);
+                sender.update_list(now, mode, &entries, out);
             }
-            "Ask" => sender.webhook(
+            "Ask" => sender.accept(
                 now,
                 whole(kind, at, "ref")?,
                 text(kind, at, "priority")?,
@@ -224,10 +228,10 @@
                 let report = value(self.report.0).zip(value(self.report.1));
                 let took = number_if(kind, at, "delay-seen-ms", 0.0)? / 1e3;
                 let (id, ended) = (whole(kind, at, "ref")?, flag(kind, at, "final")?);
-                sender.outcome(now, id, text(kind, at, "receiver")?, outcome, took, ended, report, out);
+                sender.attempt_ended(now, id, text(kind, at, "receiver")?, outcome, took, ended, report, out);
             }
-            "Vanished" => sender.withdrawn(now, whole(kind, at, "ref")?, out),
-            _ => sender.woken(now, whole(kind, at, "handle")?, out),
+            "Vanished" => sender.withdraw(now, whole(kind, at, "ref")?, out),
+            _ => sender.wake(now, whole(kind, at, "handle")?, out),
         }
         Ok(())
     }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -23,7 +23,7 @@
 use crate::chance::{Chance, hash};
 use crate::index::{Facts, Gates, Held, Kinds, Moment, median};
 use crate::state::*;
-use crate::{Effect, Entry, HoldBack, ListMode, Outbox, Outcome};
+use crate::{ActionSink, ListUpdate, ListedEndpoint, NotSentReason, Outcome, RepeatSafety};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// The design's minute: a route that was unused for so long is as if it were new.
@@ -32,7 +32,7 @@
 struct Rule {
     name: &'static str,
     when: fn(&Logic) -> Option<Pick>,
-    then: fn(&mut Logic, Pick, &mut dyn Outbox),
+    then: fn(&mut Logic, Pick, &mut dyn ActionSink),
 }
 
 const RULES: [Rule; 10] = [
@@ -109,7 +109,7 @@
         logic
     }
 
-    pub fn settle(&mut self, out: &mut dyn Outbox) {
+    pub fn settle(&mut self, out: &mut dyn ActionSink) {
         // Every firing ends or sends a webhook or moves a time; the bound guards against a mistake there.
         let mut last = "";
         for _ in 0..100_000 {
@@ -155,7 +155,7 @@
         self.now = now;
         let ttl_at = now + left;
         let t = self.types.get(event_type);
-        let target_at = t.map_or(now, |t| ttl_at - t.ttl + t.target);
+        let target_at = t.map_or(now, |t| ttl_at - t.ttl + t.target_latency);
         let key = key.filter(|_| t.is_some_and(|t| t.ordered)).map(Name::from);
         if let Some(k) = &key {
             self.key_lines.entry(k.clone()).or_default().push_back(id);
--- a/src/logic/admission.rs
+++ b/src/logic/admission.rs
@@ -30,10 +30,11 @@
             1.0
         } else if at > w.ttl_at {
             0.0
-        } else if t.halves {
-            0.5_f64.powf(past / t.target.max(0.001)).max(t.late)
+        } else if t.value_halves {
+            0.5_f64.powf(past / t.target_latency.max(0.001)).max(t.late_value_share)
         } else {
-            (1.0 - (1.0 - t.late) * past / (w.ttl_at - w.target_at).max(0.001)).max(t.late)
+            (1.0 - (1.0 - t.late_value_share) * past / (w.ttl_at - w.target_at).max(0.001))
+                .max(t.late_value_share)
         };
         // Value beyond a customer's share counts little; all customers' parts are alike in the settings.
         let part = self.customers.values().next().map_or(1.0, |c| c.1);
--- a/src/logic/cold_budget.rs
+++ b/src/logic/cold_budget.rs
@@ -15,13 +15,16 @@
         // A limit that was cut does not make the destination weaker: what is listed counts.
         let sure = self.rate(r, m).max(r.rate);
         // A call a second where no rate is known: that must not shut a route for good.
-        let budget = if sure > 0.0 { sure } else { 1.0 } * part * self.cold.multiple * self.cold.span;
+        let budget = if sure > 0.0 { sure } else { 1.0 }
+            * part
+            * self.cold.overload_multiple
+            * self.cold.overload_span;
         // What pushes it over; a third of that is left to senders that may not have seen the outage.
         let most = (budget + 2.0 * budget.sqrt() + 2.0) * (wanting / self.senders).max(2.0 / 3.0);
         // Calls that come independently stay within a deviation of their mean, as fewer want it than are counted;
         // those of a few senders stay within one call of each.
         let mean = (((1.0 + 4.0 * most).sqrt() - 1.0) / 2.0).powi(2);
-        mean.max(most - wanting).min(budget) / self.cold.span
+        mean.max(most - wanting).min(budget) / self.cold.overload_span
     }
 
     /// Seconds until each sender that may want a scope back from an outage, or still in one, has had a call within
@@ -37,8 +40,11 @@
         let wanting = came.min(self.senders);
         let wait = wanting / self.cold_rate(r, m, wanting);
         // Once it answers the budget grows meanwhile; what is taken until a time is a quadratic in it.
-        let Cold { from, warm, .. } = self.cold;
-        let grows = |back: f64| (1.0 - from) / (from * warm + (1.0 - from) * (self.now - back)).max(0.001);
+        let Cold { initial_share, warm_up, .. } = self.cold;
+        let grows = |back: f64| {
+            (1.0 - initial_share)
+                / (initial_share * warm_up + (1.0 - initial_share) * (self.now - back)).max(0.001)
+        };
         let more = r.back.map_or(0.0, grows);
         if more > 0.0 { ((1.0 + 2.0 * more * wait).sqrt() - 1.0) / more } else { wait }
     }
--- a/src/logic/connections.rs
+++ b/src/logic/connections.rs
@@ -14,9 +14,9 @@
         self.spare.first(which).map(Pick::Route)
     }
 
-    pub(super) fn close_links(&mut self, pick: Pick, out: &mut dyn Outbox) {
+    pub(super) fn close_links(&mut self, pick: Pick, out: &mut dyn ActionSink) {
         let Pick::Route(ep) = pick else { return };
-        out.close_idle(&ep);
+        out.close_idle_connections(&ep);
         if let Some(r) = self.routes.get_mut(&ep) {
             r.links = r.calls.len();
             self.held.changed.insert(r.dest);
--- a/src/logic/endpoint_list.rs
+++ b/src/logic/endpoint_list.rs
@@ -9,10 +9,10 @@
         self.watch.ask_at += if first { self.list_turn() } else { 0.0 };
     }
 
-    pub fn list(&mut self, now: f64, mode: ListMode, entries: &[Entry]) {
+    pub fn list(&mut self, now: f64, mode: ListUpdate, entries: &[ListedEndpoint]) {
         self.now = now;
         match mode {
-            ListMode::Refused => {
+            ListUpdate::Refused => {
                 // This does not say whether the watch stands: it is asked for again, less often each time.
                 self.watch.watching = false;
                 self.watch.refusals += 1;
@@ -22,12 +22,12 @@
                 self.watch.ask_at = now + wait + self.list_turn().min(self.watch.pause / 4.0);
                 return;
             }
-            ListMode::Remembered => {}
-            ListMode::Changes | ListMode::Whole => {
+            ListUpdate::Remembered => {}
+            ListUpdate::Changes | ListUpdate::Whole => {
                 (self.watch.watching, self.watch.refusals) = (self.watch.ask, 0)
             }
         }
-        if mode != ListMode::Changes {
+        if mode != ListUpdate::Changes {
             for (ep, r) in &mut self.routes {
                 r.ready = false;
                 self.aging.timers.set(ep.clone(), r.used + AGE);
@@ -35,11 +35,11 @@
             self.held.changed.extend(self.held.ready.keys());
         }
         for e in entries {
-            let (batch, apart) = self.kinds.get(e.kind).copied().unwrap_or((1, false));
-            if !self.routes.contains_key(e.ep) {
-                let ep: Name = e.ep.into();
-                self.dests.entry(e.dest).or_default().push(ep.clone());
-                let (zone, kind, dest) = (e.zone.into(), e.kind.into(), e.dest);
+            let (batch, apart) = self.kinds.get(e.destination_kind).copied().unwrap_or((1, false));
+            if !self.routes.contains_key(e.endpoint) {
+                let ep: Name = e.endpoint.into();
+                self.dests.entry(e.destination).or_default().push(ep.clone());
+                let (zone, kind, dest) = (e.zone.into(), e.destination_kind.into(), e.destination);
                 let (answered, used, window) = (now, now, self.first_window());
                 let mut r =
                     Route { dest, kind, zone, batch, apart, window, answered, used, ..Route::default() };
@@ -47,19 +47,19 @@
                 (r.slow, r.score) = (Self::slow_end(&r.samples), Self::score(&r.samples));
                 self.routes.insert(ep, r);
             }
-            let Some(r) = self.routes.get_mut(e.ep) else { continue };
-            (r.ready, r.rate) = (e.ready, if e.rate.is_finite() { e.rate.max(0.0) } else { 0.0 });
+            let Some(r) = self.routes.get_mut(e.endpoint) else { continue };
+            (r.ready, r.rate) = (e.ready, if e.rate_limit.is_finite() { e.rate_limit.max(0.0) } else { 0.0 });
             if !r.ready {
-                self.aging.timers.set(e.ep.into(), r.used + AGE);
+                self.aging.timers.set(e.endpoint.into(), r.used + AGE);
             }
             // One that started lately is cold too: what all senders hold would push it over when they hear of
             // it. Harm: one that is listed as new though it is warm.
-            if e.born > r.born.max(now - self.cold.warm) {
-                (r.born, r.outage, r.back) = (e.born, true, Some(e.born.min(now)));
-                let scope = Self::scope(&e.ep.into(), &self.routes[e.ep]);
+            if e.started_at > r.born.max(now - self.cold.warm_up) {
+                (r.born, r.outage, r.back) = (e.started_at, true, Some(e.started_at.min(now)));
+                let scope = Self::scope(&e.endpoint.into(), &self.routes[e.endpoint]);
                 self.come_in_turn(&scope, false);
             }
-            self.held.changed.insert(e.dest);
+            self.held.changed.insert(e.destination);
         }
     }
 
@@ -72,8 +72,8 @@
         self.chance.draw() * (0.05 * (self.senders - 1.0)).min(self.watch.within / 2.0)
     }
 
-    pub(super) fn ask_list(&mut self, _: Pick, out: &mut dyn Outbox) {
-        out.watch(true);
+    pub(super) fn ask_list(&mut self, _: Pick, out: &mut dyn ActionSink) {
+        out.watch_list(true);
         // Asked again well inside the allowed time if no answer comes at all.
         self.watch.ask_at = self.now + self.watch.within / 3.0;
     }
@@ -89,7 +89,7 @@
         found.cloned().map(Pick::Route).or(Some(Pick::Any))
     }
 
-    pub(super) fn forget(&mut self, pick: Pick, _: &mut dyn Outbox) {
+    pub(super) fn forget(&mut self, pick: Pick, _: &mut dyn ActionSink) {
         let Pick::Route(ep) = pick else {
             self.aging.next = self.now + 5.0;
             self.aging.due.clear();
--- a/src/logic/repeats.rs
+++ b/src/logic/repeats.rs
@@ -50,7 +50,7 @@
         let t = self.types.get(&w.event_type);
         // No further attempt is allowed.
         let over = t.is_none() || w.tries >= self.caps.attempts;
-        let by_zone = t.is_some_and(|t| t.effect == Effect::Tokened && !t.known_by_all);
+        let by_zone = t.is_some_and(|t| t.effect == RepeatSafety::Tokened && !t.known_by_all);
         let zone = w.ran.as_ref().filter(|_| by_zone).map(|r| r.0.clone());
         let facts = Facts {
             dest: w.dest,
@@ -75,16 +75,18 @@
     /// Handing in again does no harm: nothing may have run, or whoever gets a repeat knows it.
     pub(super) fn may_reject(&self, w: &Webhook) -> bool {
         let Some(t) = self.types.get(&w.event_type) else { return w.ran.is_none() };
-        w.ran.is_none() || t.effect == Effect::Idempotent || (t.effect == Effect::Tokened && t.known_by_all)
+        w.ran.is_none()
+            || t.effect == RepeatSafety::Idempotent
+            || (t.effect == RepeatSafety::Tokened && t.known_by_all)
     }
 
     /// Until when a repeat cannot make a second effect.
     pub(super) fn repeat_until(&self, w: &Webhook) -> f64 {
         let (Some(t), Some((_, at))) = (self.types.get(&w.event_type), &w.ran) else { return f64::INFINITY };
         match t.effect {
-            Effect::Idempotent => f64::INFINITY,
-            Effect::Tokened => at + t.repeat_window - REPEAT_MARGIN,
-            Effect::AtMostOnce => 0.0,
+            RepeatSafety::Idempotent => f64::INFINITY,
+            RepeatSafety::Tokened => at + t.repeat_window - REPEAT_MARGIN,
+            RepeatSafety::AtMostOnce => 0.0,
         }
     }
 
@@ -94,16 +96,16 @@
     }
 
     /// Why an attempt does not go out though its connection has come up, where something came in between.
-    pub fn hold_back(&self, now: f64, id: u64, ep: &str) -> Option<HoldBack> {
-        let Some(w) = self.webhooks.get(&id).filter(|w| !w.ended) else { return Some(HoldBack::Over) };
+    pub fn hold_back(&self, now: f64, id: u64, ep: &str) -> Option<NotSentReason> {
+        let Some(w) = self.webhooks.get(&id).filter(|w| !w.ended) else { return Some(NotSentReason::Over) };
         let Some((ep, r)) = self.routes.get_key_value(ep).filter(|(_, r)| r.ready) else {
-            return Some(HoldBack::NotListed);
+            return Some(NotSentReason::NotListed);
         };
         let waits = self.meters.get(&Self::scope(ep, r)).is_some_and(|m| now < m.wait_until);
         match () {
-            () if waits => Some(HoldBack::Waits),
-            () if now + r.slow > self.closes_at => Some(HoldBack::Closing),
-            () if now >= self.repeat_until(w) => Some(HoldBack::WindowOver),
+            () if waits => Some(NotSentReason::Waits),
+            () if now + r.slow > self.closes_at => Some(NotSentReason::Closing),
+            () if now >= self.repeat_until(w) => Some(NotSentReason::WindowOver),
             () => None,
         }
     }
@@ -127,7 +129,7 @@
         self.held.first_spent().map(Pick::Webhook)
     }
 
-    pub(super) fn give_up(&mut self, pick: Pick, out: &mut dyn Outbox) {
+    pub(super) fn give_up(&mut self, pick: Pick, out: &mut dyn ActionSink) {
         let Pick::Webhook(id) = pick else { return };
         match self.webhooks.get(&id).map(|w| self.may_reject(w)) {
             // A second: most crowds and short refusals are over by then.
--- a/src/logic/retries.rs
+++ b/src/logic/retries.rs
@@ -33,7 +33,7 @@
     pub(super) fn stop_at(&self, w: &Webhook, r: &Route) -> f64 {
         let effect = self.types.get(&w.event_type).map(|t| t.effect);
         // An at-most-once time-out could only be dead-lettered; `stuck` ends it when its slot is needed.
-        let free = matches!(effect, Some(Effect::Idempotent | Effect::Tokened));
+        let free = matches!(effect, Some(RepeatSafety::Idempotent | RepeatSafety::Tokened));
         if free { (self.now + self.patience(r)).min(w.ttl_at) } else { w.ttl_at }
     }
 
@@ -53,14 +53,14 @@
         calls.filter_map(|(r, c)| Some((c.at + self.patience(r), *c.webhooks.first()?)))
     }
 
-    pub(super) fn call_off(&mut self, pick: Pick, out: &mut dyn Outbox) {
+    pub(super) fn call_off(&mut self, pick: Pick, out: &mut dyn ActionSink) {
         let Pick::Webhook(id) = pick else { return };
         for ep in &self.active {
             let calls = self.routes.get_mut(ep).into_iter().flat_map(|r| &mut r.calls);
             for call in calls.filter(|c| c.webhooks.contains(&id)) {
                 call.called_off = true;
                 for id in &call.webhooks {
-                    out.call_off(*id, self.webhooks.get(id).map_or(0, |w| w.tries.saturating_sub(1)));
+                    out.cancel_attempt(*id, self.webhooks.get(id).map_or(0, |w| w.tries.saturating_sub(1)));
                 }
             }
         }
@@ -161,7 +161,7 @@
                     r.samples.clear();
                 }
                 returns = r.outage && r.back.is_none();
-                if r.outage && now - *r.back.get_or_insert(now) > self.cold.warm {
+                if r.outage && now - *r.back.get_or_insert(now) > self.cold.warm_up {
                     (r.outage, r.back) = (false, None);
                 }
             }
--- a/src/logic/routing.rs
+++ b/src/logic/routing.rs
@@ -125,7 +125,7 @@
             for (ep, r) in eps.filter(|(ep, r)| r.open && self.free_at(ep, r) <= self.now) {
                 let able = |g: &Group| g.2.as_ref().is_none_or(|zone| *zone == r.zone);
                 let is = |g: &Group, e| self.types.get(&g.0).is_some_and(|t| t.effect == e);
-                let harm = |g: &Group| (is(g, Effect::AtMostOnce), is(g, Effect::Tokened));
+                let harm = |g: &Group| (is(g, RepeatSafety::AtMostOnce), is(g, RepeatSafety::Tokened));
                 let groups = self.held.ready.get(&dest).into_iter().flatten().filter(|(g, _)| able(g));
                 let firsts = groups.filter_map(|(g, q)| Some((harm(g), q.by_place.first_key_value()?)));
                 if let Some((_, (_, id))) = firsts.min() {
@@ -136,7 +136,7 @@
         None
     }
 
-    pub(super) fn send(&mut self, pick: Pick, out: &mut dyn Outbox) {
+    pub(super) fn send(&mut self, pick: Pick, out: &mut dyn ActionSink) {
         let Pick::Send(id, ep) = pick else { return };
         let (now, senders) = (self.now, self.senders);
         let (Some(w), Some(r)) = (self.webhooks.get(&id), self.routes.get(&ep)) else { return };
@@ -155,7 +155,7 @@
             idle = false;
             self.close_links(Pick::Route(ep.clone()), out);
         }
-        out.attempt(id, &ep, stop_at);
+        out.start_attempt(id, &ep, stop_at);
         let Some(r) = self.routes.get_mut(&ep) else { return };
         let joined = r.calls.last_mut().filter(|c| c.at == now && !c.trial && c.webhooks.len() < r.batch);
         let m = self.meters.entry(scope).or_default();
--- a/src/logic/waits.rs
+++ b/src/logic/waits.rs
@@ -71,8 +71,11 @@
         let (since, m) = (m.full_since - wait - if shut { 2.0 } else { 0.0 }, self.meters.get(scope));
         // Until a limit has room for a call though it were cold, 0.2 s at least; up to eight times that.
         let rate = self.rate(r, m);
-        let room =
-            if taking { (1.0 / (self.cold.from * self.cold.multiple * rate)).clamp(0.2, 4.0) } else { 0.2 };
+        let room = if taking {
+            (1.0 / (self.cold.initial_share * self.cold.overload_multiple * rate)).clamp(0.2, 4.0)
+        } else {
+            0.2
+        };
         // More is called than it takes, and refused calls use it up too: until all together use half of it.
         let gone = taking && left.is_some_and(|left| left < 0.001);
         let part = [1.0, 0.0, 0.5][usize::from(taking) + usize::from(gone)];
--- a/src/logic/wake.rs
+++ b/src/logic/wake.rs
@@ -26,10 +26,10 @@
         at.max(self.now + 0.01)
     }
 
-    pub(super) fn set_wake(&mut self, pick: Pick, out: &mut dyn Outbox) {
+    pub(super) fn set_wake(&mut self, pick: Pick, out: &mut dyn ActionSink) {
         let Pick::At(at) = pick else { return };
         self.wake_at = Some(at);
         // Half a millisecond late, so that rounding cannot make it early.
-        out.wake(at - self.now + 0.0005, 0);
+        out.schedule_wake(at - self.now + 0.0005, 0);
     }
 }
--- a/src/scan.rs
+++ b/src/scan.rs
@@ -14,7 +14,7 @@
 
 fn may_repeat(l: &Logic, w: &Webhook, zone: &str) -> bool {
     let (Some(t), Some((first, _))) = (l.types.get(&w.event_type), &w.ran) else { return w.ran.is_none() };
-    let known = t.effect != Effect::Tokened || t.known_by_all || **first == *zone;
+    let known = t.effect != RepeatSafety::Tokened || t.known_by_all || **first == *zone;
     known && l.now < l.repeat_until(w)
 }
 
@@ -64,7 +64,7 @@
                 |x: &&(u64, u64)| x.0 == *dest && able(l, x.1) && may_repeat(l, &l.webhooks[&x.1], &r.zone);
             let harm = |x: &&(u64, u64)| {
                 let effect = l.types.get(&l.webhooks[&x.1].event_type).map(|t| t.effect);
-                (effect == Some(Effect::AtMostOnce), effect == Some(Effect::Tokened))
+                (effect == Some(RepeatSafety::AtMostOnce), effect == Some(RepeatSafety::Tokened))
             };
             if let Some(x) = all.iter().filter(fits).min_by_key(harm) {
                 return Some((x.1, ep.clone()));
@@ -105,16 +105,16 @@
     out: Vec<(u64, String, f64)>,
 }
 
-impl Outbox for Desk {
-    fn attempt(&mut self, webhook: u64, ep: &str, _: f64) {
-        self.out.push((webhook, ep.into(), 0.0));
+impl ActionSink for Desk {
+    fn start_attempt(&mut self, webhook_id: u64, endpoint: &str, _: f64) {
+        self.out.push((webhook_id, endpoint.into(), 0.0));
     }
-    fn call_off(&mut self, _: u64, _: u32) {}
+    fn cancel_attempt(&mut self, _: u64, _: u32) {}
     fn reject(&mut self, _: u64, _: f64) {}
     fn dead_letter(&mut self, _: u64) {}
-    fn wake(&mut self, _: f64, _: u64) {}
-    fn watch(&mut self, _: bool) {}
-    fn close_idle(&mut self, _: &str) {}
+    fn schedule_wake(&mut self, _: f64, _: u64) {}
+    fn watch_list(&mut self, _: bool) {}
+    fn close_idle_connections(&mut self, _: &str) {}
     fn log(&mut self, text: &str) {
         panic!("{text}");
     }
@@ -156,40 +156,49 @@
 fn open(ask: bool, slots: usize) -> Logic {
     let mut l = Logic::new(0.0, 5, 1, 3);
     let types = [
-        ("idem", Effect::Idempotent, false, false, true),
-        ("token", Effect::Tokened, false, false, false),
-        ("once", Effect::AtMostOnce, false, false, true),
-        ("line", Effect::Tokened, true, true, true),
+        ("idem", RepeatSafety::Idempotent, false, false, true),
+        ("token", RepeatSafety::Tokened, false, false, false),
+        ("once", RepeatSafety::AtMostOnce, false, false, true),
+        ("line", RepeatSafety::Tokened, true, true, true),
     ];
-    for (name, effect, known_by_all, ordered, halves) in types {
-        let (target, ttl, value, late, repeat_window) = (1.0, 6.0, 1.0, 0.3, 4.0);
-        let event_type =
-            EventType { target, ttl, value, late, halves, effect, repeat_window, known_by_all, ordered };
+    for (name, effect, known_by_all, ordered, value_halves) in types {
+        let (target_latency, ttl, value, late_value_share, repeat_window) = (1.0, 6.0, 1.0, 0.3, 4.0);
+        let event_type = EventType {
+            target_latency,
+            ttl,
+            value,
+            late_value_share,
+            value_halves,
+            effect,
+            repeat_window,
+            known_by_all,
+            ordered,
+        };
         l.types.insert(name.into(), event_type);
     }
     l.kinds.insert("plain".into(), (1, false));
     l.kinds.insert("apart".into(), (3, true));
     l.customers.insert("c".into(), (2.0, 0.5, VecDeque::new()));
     (l.caps.slots, l.caps.holds, l.caps.attempts, l.caps.may_call_off) = (slots, 60, 5, true);
-    l.cold = Cold { from: 0.3, warm: 4.0, multiple: 1.5, span: 1.5 };
+    l.cold = Cold { initial_share: 0.3, warm_up: 4.0, overload_multiple: 1.5, overload_span: 1.5 };
     (l.idle_for, l.key_rest, l.watch.ask, l.watch.within) = (2.0, 0.4, ask, 5.0);
     l
 }
 
-fn list(l: &mut Logic, mode: ListMode, gone: usize) {
+fn list(l: &mut Logic, mode: ListUpdate, gone: usize) {
     let names: Vec<String> = (0..10).map(|i| format!("e{i}")).collect();
     let now = l.now;
-    let entry = |i: usize| Entry {
-        ep: &names[i],
+    let entry = |i: usize| ListedEndpoint {
+        endpoint: &names[i],
         zone: ["x", "y"][i % 2],
-        kind: if i < 6 { "plain" } else { "apart" },
-        dest: [1, 1, 1, 2, 2, 3, 4, 4, 5, 5][i],
+        destination_kind: if i < 6 { "plain" } else { "apart" },
+        destination: [1, 1, 1, 2, 2, 3, 4, 4, 5, 5][i],
         ready: i != gone,
-        rate: [6.0, 20.0, 0.0][i % 3],
-        born: [0.0, now - 1.0][i % 2],
+        rate_limit: [6.0, 20.0, 0.0][i % 3],
+        started_at: [0.0, now - 1.0][i % 2],
     };
-    let entries: Vec<Entry> =
-        (0..10).filter(|i| mode != ListMode::Changes || *i == gone).map(entry).collect();
+    let entries: Vec<ListedEndpoint> =
+        (0..10).filter(|i| mode != ListUpdate::Changes || *i == gone).map(entry).collect();
     l.list(l.now, mode, &entries);
 }
 
@@ -201,7 +210,7 @@
         steps in prop::collection::vec((0_u8..12, 0_usize..1_000, 0.0..0.3_f64), 20..300),
     ) {
         let (mut l, mut desk, mut id) = (open(ask, slots), Desk::default(), 0);
-        list(&mut l, ListMode::Remembered, 99);
+        list(&mut l, ListUpdate::Remembered, 99);
         settle(&mut l, &mut desk);
         for (what, n, after) in steps {
             let now = l.now + if n % 3 == 0 { 0.0 } else { after };
@@ -232,7 +241,7 @@
                     let report = (n % 4 == 0).then_some((0.4, 8.0));
                     l.outcome(now, webhook, &ep, outcome, 0.1, outcome == Outcome::Delivered, report);
                 }
-                9 => list(&mut l, [ListMode::Changes, ListMode::Whole, ListMode::Refused][n % 3], n % 10),
+                9 => list(&mut l, [ListUpdate::Changes, ListUpdate::Whole, ListUpdate::Refused][n % 3], n % 10),
                 10 => l.withdrawn(now, 1 + n as u64 % id.max(1)),
                 _ => l.woken(now, 0),
             }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! What the policy knows, as plain records: no decisions and no figures here.
 
-use crate::Effect;
+use crate::RepeatSafety;
 use crate::index::Timers;
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -9,12 +9,12 @@
 
 #[derive(Default)]
 pub(crate) struct EventType {
-    pub target: f64,
+    pub target_latency: f64,
     pub ttl: f64,
     pub value: f64,
-    pub late: f64,
-    pub halves: bool,
-    pub effect: Effect,
+    pub late_value_share: f64,
+    pub value_halves: bool,
+    pub effect: RepeatSafety,
     pub repeat_window: f64,
     pub known_by_all: bool,
     pub ordered: bool,
@@ -170,22 +170,22 @@
 /// sent more than `multiple` times what it can do for `span` seconds.
 #[derive(Clone, Copy)]
 pub(crate) struct Cold {
-    pub from: f64,
-    pub warm: f64,
-    pub multiple: f64,
-    pub span: f64,
+    pub initial_share: f64,
+    pub warm_up: f64,
+    pub overload_multiple: f64,
+    pub overload_span: f64,
 }
 
 impl Cold {
     /// The share of its capacity that it has so many seconds after its return.
     pub fn part(&self, since: f64) -> f64 {
-        (self.from + (1.0 - self.from) * since / self.warm).min(1.0)
+        (self.initial_share + (1.0 - self.initial_share) * since / self.warm_up).min(1.0)
     }
 }
 
 impl Default for Cold {
     fn default() -> Self {
-        Cold { from: 1.0, warm: 0.0, multiple: f64::INFINITY, span: 1.0 }
+        Cold { initial_share: 1.0, warm_up: 0.0, overload_multiple: f64::INFINITY, overload_span: 1.0 }
     }
 }
 
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -1,6 +1,6 @@
 //! Plays a script of inputs to a sender and writes down what it does.
 
-use scalebarrow::{Effect, Entry, ListMode, Outbox, Outcome, Sender};
+use scalebarrow::{ActionSink, ListUpdate, ListedEndpoint, Outcome, RepeatSafety, Sender};
 
 #[derive(Default)]
 struct Desk {
@@ -10,28 +10,28 @@
     asked: usize,
 }
 
-impl Outbox for Desk {
-    fn attempt(&mut self, webhook: u64, ep: &str, _: f64) {
-        self.acts.push(format!("{:.1} send {webhook} {ep}", self.now));
+impl ActionSink for Desk {
+    fn start_attempt(&mut self, webhook_id: u64, endpoint: &str, _: f64) {
+        self.acts.push(format!("{:.1} send {webhook_id} {endpoint}", self.now));
     }
-    fn call_off(&mut self, webhook: u64, hop: u32) {
-        self.acts.push(format!("{:.1} off {webhook} {hop}", self.now));
+    fn cancel_attempt(&mut self, webhook_id: u64, attempt_number: u32) {
+        self.acts.push(format!("{:.1} off {webhook_id} {attempt_number}", self.now));
     }
-    fn reject(&mut self, webhook: u64, come_back: f64) {
-        self.acts.push(format!("{:.1} reject {webhook} {come_back}", self.now));
+    fn reject(&mut self, webhook_id: u64, retry_after: f64) {
+        self.acts.push(format!("{:.1} reject {webhook_id} {retry_after}", self.now));
     }
-    fn dead_letter(&mut self, webhook: u64) {
-        self.acts.push(format!("{:.1} dead {webhook}", self.now));
+    fn dead_letter(&mut self, webhook_id: u64) {
+        self.acts.push(format!("{:.1} dead {webhook_id}", self.now));
     }
-    fn wake(&mut self, after: f64, handle: u64) {
-        self.wakes.push((self.now + after, handle));
+    fn schedule_wake(&mut self, delay: f64, handle: u64) {
+        self.wakes.push((self.now + delay, handle));
         self.asked += 1;
     }
-    fn watch(&mut self, on: bool) {
-        self.acts.push(format!("{:.1} watch {on}", self.now));
+    fn watch_list(&mut self, enabled: bool) {
+        self.acts.push(format!("{:.1} watch {enabled}", self.now));
     }
-    fn close_idle(&mut self, ep: &str) {
-        self.acts.push(format!("{:.1} close {ep}", self.now));
+    fn close_idle_connections(&mut self, endpoint: &str) {
+        self.acts.push(format!("{:.1} close {endpoint}", self.now));
     }
     fn log(&mut self, text: &str) {
         self.acts.push(format!("{:.1} log {text}", self.now));
@@ -41,26 +41,26 @@
 /// Event types `idem`, `token` (known 4 s in one zone), `once` and `line` (tokened by all, in order, rest 0.3 s),
 /// all wanted within 2 s and given up at 8 s; kinds `plain` and `bulk` (3 in a call, routes apart).
 fn sender(slots: usize, holds: usize, senders: u64, ask: bool) -> Sender {
-    let mut s = Sender::open(0.0, 7, 0, senders);
+    let mut s = Sender::new(0.0, 7, 0, senders);
     let types = [
-        ("idem", Effect::Idempotent, 0.0, false, false),
-        ("token", Effect::Tokened, 4.0, false, false),
-        ("once", Effect::AtMostOnce, 0.0, false, false),
-        ("line", Effect::Tokened, 8.0, true, true),
+        ("idem", RepeatSafety::Idempotent, 0.0, false, false),
+        ("token", RepeatSafety::Tokened, 4.0, false, false),
+        ("once", RepeatSafety::AtMostOnce, 0.0, false, false),
+        ("line", RepeatSafety::Tokened, 8.0, true, true),
     ];
     for (name, effect, known_for, by_all, ordered) in types {
         s.set_event_type(name, 2.0, 8.0, if name == "once" { 3.0 } else { 1.0 }, 0.3, true);
-        s.set_effect(name, effect, known_for, by_all, ordered);
+        s.set_repeat_safety(name, effect, known_for, by_all, ordered);
     }
-    s.set_kind("plain", 1, false);
-    s.set_kind("bulk", 3, true);
+    s.set_destination_kind("plain", 1, false);
+    s.set_destination_kind("bulk", 3, true);
     s.set_limits(slots, holds, 6, true);
-    s.set_come_back(0.5);
-    s.set_list(ask, 9.0, 36.0);
-    s.set_cold(0.2, 10.0, 2.0, 1.5);
-    s.set_key_rest(0.3);
-    s.set_way("far", 0.1);
-    s.set_idle(5.0);
+    s.set_max_retry_after(0.5);
+    s.set_list_watch(ask, 9.0, 36.0);
+    s.set_cold_start(0.2, 10.0, 2.0, 1.5);
+    s.set_key_cooldown(0.3);
+    s.set_zone_cost("far", 0.1);
+    s.set_idle_timeout(5.0);
     s
 }
 
@@ -77,30 +77,30 @@
         while let Some(i) = (0..desk.wakes.len()).find(|i| desk.wakes[*i].0 <= t) {
             let (at, handle) = desk.wakes.remove(i);
             desk.now = at;
-            s.woken(at, handle, &mut desk);
+            s.wake(at, handle, &mut desk);
         }
         desk.now = t;
         let id = words.get(2).and_then(|w| w.parse().ok()).unwrap_or(0);
         match words[1] {
             "list" | "changes" => {
-                let mode = if words[1] == "list" { ListMode::Whole } else { ListMode::Changes };
+                let mode = if words[1] == "list" { ListUpdate::Whole } else { ListUpdate::Changes };
                 let rows = words[2..].iter().map(|w| w.split(':').collect::<Vec<_>>()).collect::<Vec<_>>();
-                let entries: Vec<Entry> = rows
+                let entries: Vec<ListedEndpoint> = rows
                     .iter()
-                    .map(|r| Entry {
-                        ep: r[0],
+                    .map(|r| ListedEndpoint {
+                        endpoint: r[0],
                         zone: r[1],
-                        kind: r[2],
-                        dest: 1,
+                        destination_kind: r[2],
+                        destination: 1,
                         ready: r.get(4).is_none_or(|x| *x != "gone"),
-                        rate: r[3].parse().unwrap(),
-                        born: r.get(4).and_then(|x| x.parse().ok()).unwrap_or(0.0),
+                        rate_limit: r[3].parse().unwrap(),
+                        started_at: r.get(4).and_then(|x| x.parse().ok()).unwrap_or(0.0),
                     })
                     .collect();
-                s.list(t, mode, &entries, &mut desk);
+                s.update_list(t, mode, &entries, &mut desk);
             }
-            "refused" => s.list(t, ListMode::Refused, &[], &mut desk),
-            "hand" => s.webhook(t, id, words[3], 1, words.get(4).copied(), None, 8.0, &mut desk),
+            "refused" => s.update_list(t, ListUpdate::Refused, &[], &mut desk),
+            "hand" => s.accept(t, id, words[3], 1, words.get(4).copied(), None, 8.0, &mut desk),
             "end" => {
                 let outcome = match words[4] {
                     "ok" => Outcome::Delivered,
@@ -114,17 +114,17 @@
                 let report = words.get(6).and_then(|w| w.split_once(':'));
                 let report = report.map(|(left, limit)| (left.parse().unwrap(), limit.parse().unwrap()));
                 let took = t - sent.get(&id).copied().unwrap_or(t);
-                s.outcome(t, id, words[3], outcome, took, words[4] == "ok", report, &mut desk);
+                s.attempt_ended(t, id, words[3], outcome, took, words[4] == "ok", report, &mut desk);
             }
-            "gone" => s.withdrawn(t, id, &mut desk),
-            "may" => desk.acts.push(format!("{t:.1} may {id} {}", s.may_go(t, id, words[3]))),
+            "gone" => s.withdraw(t, id, &mut desk),
+            "may" => desk.acts.push(format!("{t:.1} may {id} {}", s.may_send(t, id, words[3]))),
             "resume" => {
                 let ran = words.get(5).and_then(|w| w.split_once(':'));
                 let ran = ran.map(|(zone, at)| (zone, at.parse().unwrap()));
                 let (tries, key) = (words[4].parse().unwrap(), words.get(6).copied());
-                s.resumed(t, id, words[3], 1, key, None, 8.0, tries, ran, &mut desk);
+                s.resume(t, id, words[3], 1, key, None, 8.0, tries, ran, &mut desk);
             }
-            "closing" => s.closing(t, words[2].parse().unwrap(), &mut desk),
+            "closing" => s.begin_shutdown(t, words[2].parse().unwrap(), &mut desk),
             _ => {}
         }
         for act in &desk.acts {
