--- a/crates/store/src/files.rs
+++ b/crates/store/src/files.rs
@@ -1,32 +1,33 @@
-//! The file operations that a store needs.
+//! The file operations that a [`Store`](crate::Store) needs.
 
 use std::io;
 
-/// Files of one folder, by name. Offsets and lengths are in bytes.
+/// The files of one folder, by name. Offsets and lengths are in bytes.
 ///
-/// An operation that returns an error may have been done in part: an append may have written some of its bytes.
+/// An operation that returns an error may be partly done: a failed append may have written some of its bytes.
 pub trait Files {
-    /// The names of all files, in any order.
+    /// Returns the names of all files, in any order.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// The length of a file; `NotFound` where there is none.
+    /// Returns the length of a file; fails with `NotFound` if it does not exist.
     fn length(&self, name: &str) -> io::Result<u64>;
 
-    /// Makes a new, empty file, in place of one that has this name.
+    /// Creates an empty file and replaces an existing one of this name.
     fn create(&mut self, name: &str) -> io::Result<()>;
 
-    /// Writes at the end of a file that exists. Once that has worked, also with no bytes at all, it takes nothing but room
-    /// until another file is appended to.
+    /// Appends to an existing file. After a successful append, even of no bytes, further appends to this file
+    /// need only disk space (no new file descriptor) until another file is appended to.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Fills the whole buffer from a place in a file; `UnexpectedEof` where the file ends before.
+    /// Fills the whole buffer from an offset in a file; fails with `UnexpectedEof` if the file ends earlier.
     fn read_at(&mut self, name: &str, offset: u64, buffer: &mut [u8]) -> io::Result<()>;
 
-    /// Cuts a file to a length that it has or exceeds.
+    /// Shortens a file to a length no greater than its current one.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
 
-    /// Gives a file another name, in place of one that has it; at every moment one of the two has the new name.
+    /// Renames a file and atomically replaces an existing file of the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
+    /// Removes a file; fails with `NotFound` if it does not exist.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -1,4 +1,4 @@
-//! Files in memory.
+//! [`Files`] in memory.
 
 use crate::files::Files;
 use std::cell::RefCell;
@@ -6,24 +6,26 @@
 use std::io::{self, ErrorKind};
 use std::rc::Rc;
 
-/// A folder in memory. Clones share it, as processes that follow each other share a folder.
+/// A folder in memory. Clones share its content, like successive processes that use the same folder.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryFiles(Rc<RefCell<BTreeMap<String, Vec<u8>>>>);
 
 impl MemoryFiles {
-    /// The sum of all lengths.
+    /// Returns the sum of all file lengths.
     pub fn total_bytes(&self) -> u64 {
         self.0.borrow().values().map(|bytes| bytes.len() as u64).sum()
     }
 
-    /// A folder of its own with the same content.
+    /// Returns an independent folder with the same content.
     pub fn deep_copy(&self) -> Self {
         MemoryFiles(Rc::new(RefCell::new(self.0.borrow().clone())))
     }
 
-    fn with<T>(&self, name: &str, then: impl FnOnce(&mut Vec<u8>) -> io::Result<T>) -> io::Result<T> {
+    fn with_file<T>(
+        &self, name: &str, operation: impl FnOnce(&mut Vec<u8>) -> io::Result<T>,
+    ) -> io::Result<T> {
         let mut files = self.0.borrow_mut();
-        then(files.get_mut(name).ok_or(ErrorKind::NotFound)?)
+        operation(files.get_mut(name).ok_or(ErrorKind::NotFound)?)
     }
 }
 
@@ -33,7 +35,7 @@
     }
 
     fn length(&self, name: &str) -> io::Result<u64> {
-        self.with(name, |bytes| Ok(bytes.len() as u64))
+        self.with_file(name, |bytes| Ok(bytes.len() as u64))
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
@@ -42,22 +44,22 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.with(name, |file| {
+        self.with_file(name, |file| {
             file.extend_from_slice(bytes);
             Ok(())
         })
     }
 
     fn read_at(&mut self, name: &str, offset: u64, buffer: &mut [u8]) -> io::Result<()> {
-        self.with(name, |file| {
-            let from = file.get(offset as usize..).ok_or(ErrorKind::UnexpectedEof)?;
-            buffer.copy_from_slice(from.get(..buffer.len()).ok_or(ErrorKind::UnexpectedEof)?);
+        self.with_file(name, |file| {
+            let available = file.get(offset as usize..).ok_or(ErrorKind::UnexpectedEof)?;
+            buffer.copy_from_slice(available.get(..buffer.len()).ok_or(ErrorKind::UnexpectedEof)?);
             Ok(())
         })
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
-        self.with(name, |file| {
+        self.with_file(name, |file| {
             file.truncate(length as usize);
             Ok(())
         })
--- a/crates/store/tests/files.rs
+++ b/crates/store/tests/files.rs
@@ -1,22 +1,25 @@
-//! The contract of files, held to by each implementation.
+//! Tests that each implementation of [`Files`] keeps the contract of the trait.
 
 use scalebarrow_store::{FaultyFiles, Files, FolderFiles, MemoryFiles};
 use std::io::ErrorKind;
 
+/// Reads `length` bytes at an offset.
 fn read(files: &mut impl Files, name: &str, offset: u64, length: usize) -> Result<Vec<u8>, ErrorKind> {
     let mut bytes = vec![0; length];
-    files.read_at(name, offset, &mut bytes).map(|()| bytes).map_err(|e| e.kind())
+    files.read_at(name, offset, &mut bytes).map(|()| bytes).map_err(|error| error.kind())
 }
 
+/// Lists the file names in ascending order.
 fn names(files: &impl Files) -> Vec<String> {
     let mut names = files.list().unwrap();
     names.sort();
     names
 }
 
-fn contract(mut files: impl Files) {
+/// Checks every operation, its errors, and the order in which operations follow each other.
+fn check_contract(mut files: impl Files) {
     assert!(names(&files).is_empty());
-    for missing in [
+    for result in [
         files.length("a").map(drop),
         files.append("a", b"x"),
         files.read_at("a", 0, &mut [0]),
@@ -24,7 +27,7 @@
         files.rename("a", "b"),
         files.remove("a"),
     ] {
-        assert_eq!(missing.unwrap_err().kind(), ErrorKind::NotFound);
+        assert_eq!(result.unwrap_err().kind(), ErrorKind::NotFound);
     }
     files.create("a").unwrap();
     assert_eq!(files.length("a").unwrap(), 0);
@@ -37,18 +40,19 @@
     assert_eq!(read(&mut files, "a", 11, 0).unwrap(), b"");
     assert_eq!(read(&mut files, "a", 10, 2).unwrap_err(), ErrorKind::UnexpectedEof);
     assert_eq!(read(&mut files, "a", 20, 1).unwrap_err(), ErrorKind::UnexpectedEof);
-    // What follows a cut stands at its place.
+    // An append after a truncation starts at the new end.
     files.truncate("a", 4).unwrap();
     files.append("a", b"!").unwrap();
     assert_eq!(read(&mut files, "a", 0, 5).unwrap(), b"onet!");
     assert_eq!(files.length("a").unwrap(), 5);
-    // A rename takes the other's place, also for those who read or appended to either.
+    // A rename replaces the other file, even if either was read or appended to before.
     files.rename("a", "b").unwrap();
     assert_eq!((names(&files), files.length("b").unwrap()), (vec!["b".to_owned()], 5));
     assert_eq!(read(&mut files, "b", 0, 5).unwrap(), b"onet!");
     files.append("b", b"?").unwrap();
     assert_eq!(read(&mut files, "b", 0, 6).unwrap(), b"onet!?");
-    // Made anew it is empty; removed it is gone, and another of its name is another file.
+    // Creating an existing file empties it; a removed file is gone, and a new one of its name is independent
+    // of it.
     files.create("b").unwrap();
     assert_eq!(files.length("b").unwrap(), 0);
     files.append("b", b"new").unwrap();
@@ -63,23 +67,23 @@
 }
 
 #[test]
-fn files_in_memory_keep_the_contract() {
-    contract(MemoryFiles::default());
+fn memory_files_keep_the_contract() {
+    check_contract(MemoryFiles::default());
 }
 
 #[test]
-fn files_in_a_folder_keep_the_contract() {
+fn folder_files_keep_the_contract() {
     let folder =
         std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("files-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
-    contract(FolderFiles::new(&folder));
-    // What is no file is none of the names.
+    check_contract(FolderFiles::new(&folder));
+    // Directories are not listed.
     std::fs::create_dir(folder.join("sub")).unwrap();
     assert_eq!(names(&FolderFiles::new(&folder)), ["b"]);
 }
 
 #[test]
 fn faulty_files_without_a_fault_keep_the_contract() {
-    contract(FaultyFiles::new(MemoryFiles::default(), None));
+    check_contract(FaultyFiles::new(MemoryFiles::default(), None));
 }
