--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,16 +1,19 @@
-//! A log-structured store: numbered values, each with a small state beside it, in a folder of checksummed segments.
+//! A log-structured key-value store: each `u64` key has a value and a small state, kept in a folder of
+//! checksummed segment files.
 //!
-//! Records are only ever appended, to the newest segment. A segment that is full is sealed with a checkpoint, the list
-//! of its records without their payloads, so that a start reads checkpoints and the unsealed tail but no payloads.
-//! Space is won back by compaction: the oldest segment's live records are copied to the newest, then it is removed.
-//! As segments go strictly oldest first, the record of a removal is never needed longer than what it removes.
+//! Records are only appended, to the newest segment. A full segment is sealed with a checkpoint, a list of
+//! its records without their payloads, so that opening the store reads the checkpoints and the unsealed tail
+//! but no other payloads. Compaction reclaims space: it copies the live records of the oldest segment to the
+//! newest one and then removes the oldest. Segments are removed strictly oldest first, so a tombstone is
+//! never needed longer than the records that it deletes.
 //!
-//! In memory a value takes its number and the position of its record. What a process that is killed had appended is
-//! there at the next start; nothing is synced, so a machine that loses power may lose the last records.
+//! In memory, a value takes up its key and the position of its record. Records that were appended before the
+//! process was killed are found when the store is opened again. Nothing is synced to disk: a power failure
+//! may lose the last records.
 //!
-//! - [`Store`] does as the [`planner`] says, through a [`Files`].
-//! - [`planner`] decides about segments and does no I/O.
-//! - [`FolderFiles`], [`MemoryFiles`] and, for tests, [`FaultyFiles`] are the files.
+//! - [`Store`] reads and writes segments through [`Files`], as the [`planner`] decides.
+//! - [`planner`] decides when to seal, compact and remove segments; it does no I/O.
+//! - [`FolderFiles`], [`MemoryFiles`] and, for tests, [`FaultyFiles`] implement [`Files`].
 
 mod faulty;
 mod files;
--- a/crates/store/src/planner.rs
+++ b/crates/store/src/planner.rs
@@ -1,203 +1,235 @@
-//! What to do with segments and when: pure arithmetic over their sizes, without any I/O.
+//! Decides when segments are sealed, compacted and removed, from their sizes alone and without any I/O.
 //!
-//! Compaction must win back space faster than it is used up. With at least [`MIN_SCAN_RATIO`] bytes looked through for each byte
-//! that is appended, one pass over a log of T bytes appends T / MIN_SCAN_RATIO itself. So where a pass begins at T or less with
-//! `T + T / MIN_SCAN_RATIO + copy room` within the limit, the limit holds all along; and the next one need not begin before this
-//! one ends where what is live is no more than `T - T / MIN_SCAN_RATIO`.
+//! Compaction must reclaim space faster than appends use it. As it scans at least [`MIN_SCAN_RATIO`] bytes
+//! for each appended byte, `T / MIN_SCAN_RATIO` bytes are appended during one pass over a log of `T` bytes.
+//! So if a pass begins at `T` bytes or less, and `T + T / MIN_SCAN_RATIO + compaction reserve` is within the
+//! disk limit, the limit holds during the whole pass. The next pass need not begin before this one ends as
+//! long as live records take up at most `T - T / MIN_SCAN_RATIO`.
 
 use std::collections::BTreeMap;
 
-/// Bytes looked through by compaction for each byte appended, at least.
+/// Minimum bytes scanned by compaction for each appended byte.
 pub const MIN_SCAN_RATIO: u64 = 8;
-/// Bytes and records that one step of compaction looks through, at least.
+/// Minimum bytes that one compaction step may scan.
 pub const MIN_STEP_BYTES: u64 = 64 * 1024;
+/// Minimum number of records that one compaction step may scan.
 pub const MIN_STEP_RECORDS: usize = 256;
-/// Bytes that one step looks through, at most. Who appends more between two steps waits for room where there is none.
-const LONGEST_STEP: u64 = 1024 * 1024;
-/// A folder's file system hands out space in such pieces.
-const BLOCK: u64 = 4096;
-/// Segments are so large at most, and this part of the limit where that is less.
-const LARGEST_SEGMENT: u64 = 4 * 1024 * 1024;
-const SEGMENTS: u64 = 16;
-const SMALLEST_SEGMENT: u64 = 16 * 1024;
-/// Until a log is this large, or fills half its limit, dead records stay.
-const SMALL_LOG: u64 = 32 * 1024 * 1024;
-/// For the headers and blocks of segments that compaction begins, and for files beside the segments.
-const SLACK: u64 = 3 * BLOCK;
-
-fn in_blocks(bytes: u64) -> u64 {
-    bytes.div_ceil(BLOCK) * BLOCK
+/// Maximum bytes that one compaction step may scan. If more than this divided by [`MIN_SCAN_RATIO`] is
+/// appended between two steps, an append to a full log runs compaction until its record fits.
+const MAX_STEP_BYTES: u64 = 1024 * 1024;
+/// Unit in which the file system allocates space.
+const BLOCK_BYTES: u64 = 4096;
+/// Maximum of the target size of a segment.
+const MAX_SEGMENT_BYTES: u64 = 4 * 1024 * 1024;
+/// A segment's target size is the disk limit divided by this, between the minimum and the maximum.
+const SEGMENTS_PER_LIMIT: u64 = 16;
+/// Minimum of the target size of a segment.
+const MIN_SEGMENT_BYTES: u64 = 16 * 1024;
+/// A log no larger than this or half of its disk limit, whichever is smaller, is not compacted merely because
+/// most of it is dead.
+const SMALL_LOG_BYTES: u64 = 32 * 1024 * 1024;
+/// Space for the headers and partly used blocks of segments that compaction begins, and for files other than
+/// segments.
+const OVERHEAD_BYTES: u64 = 3 * BLOCK_BYTES;
+
+/// Returns the space that the file system allocates for so many bytes.
+fn round_up_to_blocks(bytes: u64) -> u64 {
+    bytes.div_ceil(BLOCK_BYTES) * BLOCK_BYTES
 }
 
-/// Sizes of all segments and what follows from them.
+/// Tracks the sizes of all segments and decides what to do with them.
 #[derive(Debug, Clone)]
 pub struct Planner {
-    limit: u64,
-    /// Whether records have to fit in it.
-    enforced: bool,
-    /// Sealed segments by number: the sizes of their files.
-    sealed: BTreeMap<u32, u64>,
-    sealed_bytes: u64,
-    /// The unsealed segment, with the checkpoint that it will have.
-    active: Option<(u32, u64)>,
-    /// Bytes of records that are still needed, in all and by segment.
-    live: u64,
-    live_by_segment: BTreeMap<u32, u64>,
-    /// The largest record so far.
-    largest: u64,
+    /// The disk limit of all segments together.
+    limit_bytes: u64,
+    /// Whether appends that exceed the limit are refused.
+    limit_enforced: bool,
+    /// File sizes of the sealed segments, in bytes, by segment id.
+    sealed_sizes: BTreeMap<u32, u64>,
+    /// The sum of these sizes in whole blocks.
+    sealed_disk_bytes: u64,
+    /// Id and size in bytes of the unsealed segment; the size includes its future checkpoint.
+    active_segment: Option<(u32, u64)>,
+    /// Total bytes of records that are still needed.
+    live_bytes: u64,
+    /// The same by segment id; segments without live records have no entry.
+    live_bytes_by_segment: BTreeMap<u32, u64>,
+    /// Size of the largest record since the log last had no live records.
+    largest_record_bytes: u64,
 }
 
 impl Planner {
-    /// A plan for an empty folder that may hold `limit` bytes.
-    pub fn new(limit: u64) -> Self {
+    /// Creates a planner for an empty folder that may take up `limit_bytes` on disk.
+    pub fn new(limit_bytes: u64) -> Self {
         Planner {
-            limit,
-            enforced: true,
-            sealed: BTreeMap::new(),
-            sealed_bytes: 0,
-            active: None,
-            live: 0,
-            live_by_segment: BTreeMap::new(),
-            largest: 0,
+            limit_bytes,
+            limit_enforced: true,
+            sealed_sizes: BTreeMap::new(),
+            sealed_disk_bytes: 0,
+            active_segment: None,
+            live_bytes: 0,
+            live_bytes_by_segment: BTreeMap::new(),
+            largest_record_bytes: 0,
         }
     }
 
-    /// Changes the limit.
-    pub fn set_disk_limit(&mut self, limit: u64) {
-        self.limit = limit;
+    /// Changes the disk limit.
+    pub fn set_disk_limit(&mut self, limit_bytes: u64) {
+        self.limit_bytes = limit_bytes;
     }
 
-    /// Whether records have to fit in the limit. Not for those that are carried over from elsewhere, where they fitted.
-    pub fn enforce_disk_limit(&mut self, enforced: bool) {
-        self.enforced = enforced;
+    /// Sets whether records must fit in the disk limit. Switched off while records are migrated that were
+    /// accepted under the limit of another storage format.
+    pub fn enforce_disk_limit(&mut self, limit_enforced: bool) {
+        self.limit_enforced = limit_enforced;
     }
 
-    /// What a segment's file may hold, with its checkpoint.
-    pub fn segment_size(&self) -> u64 {
-        (self.limit / SEGMENTS).clamp(SMALLEST_SEGMENT, LARGEST_SEGMENT)
+    /// Returns the size, including the checkpoint, at which a segment is sealed. Only a segment with a single
+    /// larger record exceeds it.
+    pub fn target_segment_bytes(&self) -> u64 {
+        (self.limit_bytes / SEGMENTS_PER_LIMIT).clamp(MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES)
     }
 
-    /// Bytes on disk once the active segment is sealed, in whole blocks.
+    /// Returns the bytes on disk, in whole blocks, as if the active segment were sealed.
     pub fn used_bytes(&self) -> u64 {
-        self.sealed_bytes + self.active.map_or(0, |(_, bytes)| in_blocks(bytes))
+        self.sealed_disk_bytes + self.active_segment.map_or(0, |(_, bytes)| round_up_to_blocks(bytes))
     }
 
+    /// Returns the bytes of all live records, including their checkpoint items.
     pub fn live_bytes(&self) -> u64 {
-        self.live
+        self.live_bytes
     }
 
-    /// A segment is there, sealed, with so many bytes.
-    pub fn add_sealed_segment(&mut self, segment: u32, bytes: u64) {
-        self.sealed.insert(segment, bytes);
-        self.sealed_bytes += in_blocks(bytes);
+    /// Adds a sealed segment of the given file size.
+    pub fn add_sealed_segment(&mut self, segment_id: u32, size_bytes: u64) {
+        self.sealed_sizes.insert(segment_id, size_bytes);
+        self.sealed_disk_bytes += round_up_to_blocks(size_bytes);
     }
 
-    /// The active segment has so many bytes, with the checkpoint that it will have.
-    pub fn set_active_segment(&mut self, segment: u32, bytes: u64) {
-        self.active = Some((segment, bytes));
+    /// Sets the active segment and its size, which includes its future checkpoint.
+    pub fn set_active_segment(&mut self, segment_id: u32, size_bytes: u64) {
+        self.active_segment = Some((segment_id, size_bytes));
     }
 
-    /// The active segment is sealed, or given up as it is, with so many bytes.
-    pub fn seal_active(&mut self, bytes: u64) {
-        if let Some((segment, _)) = self.active.take() {
-            self.add_sealed_segment(segment, bytes);
+    /// Marks the active segment as sealed (even if writing its checkpoint failed), with its final size.
+    pub fn seal_active(&mut self, size_bytes: u64) {
+        if let Some((segment_id, _)) = self.active_segment.take() {
+            self.add_sealed_segment(segment_id, size_bytes);
         }
     }
 
-    /// A segment is gone.
-    pub fn remove_segment(&mut self, segment: u32) {
-        if let Some(bytes) = self.sealed.remove(&segment) {
-            self.sealed_bytes -= in_blocks(bytes);
+    /// Removes a sealed segment from the plan.
+    pub fn remove_segment(&mut self, segment_id: u32) {
+        if let Some(bytes) = self.sealed_sizes.remove(&segment_id) {
+            self.sealed_disk_bytes -= round_up_to_blocks(bytes);
         }
     }
 
-    /// A record of so many bytes, with its item in the checkpoint, is needed from now on.
-    pub fn add_live_record(&mut self, segment: u32, bytes: u64) {
-        self.live += bytes;
-        *self.live_by_segment.entry(segment).or_default() += bytes;
-        self.largest = self.largest.max(bytes);
+    /// Adds a live record; `record_bytes` includes its checkpoint item.
+    pub fn add_live_record(&mut self, segment_id: u32, record_bytes: u64) {
+        self.live_bytes += record_bytes;
+        *self.live_bytes_by_segment.entry(segment_id).or_default() += record_bytes;
+        self.largest_record_bytes = self.largest_record_bytes.max(record_bytes);
     }
 
-    /// It is not needed any more.
-    pub fn remove_live_record(&mut self, segment: u32, bytes: u64) {
-        self.live -= bytes;
-        if let Some(live) = self.live_by_segment.get_mut(&segment) {
-            *live -= bytes;
-            if *live == 0 {
-                self.live_by_segment.remove(&segment);
+    /// Marks a record as dead, with the same size as it was added with.
+    pub fn remove_live_record(&mut self, segment_id: u32, record_bytes: u64) {
+        self.live_bytes -= record_bytes;
+        if let Some(live_bytes) = self.live_bytes_by_segment.get_mut(&segment_id) {
+            *live_bytes -= record_bytes;
+            if *live_bytes == 0 {
+                self.live_bytes_by_segment.remove(&segment_id);
             }
         }
-        if self.live == 0 {
-            self.largest = 0;
+        if self.live_bytes == 0 {
+            self.largest_record_bytes = 0;
         }
     }
 
-    /// Nothing in a segment is needed any more.
-    pub fn is_dead(&self, segment: u32) -> bool {
-        !self.live_by_segment.contains_key(&segment)
+    /// Returns whether a segment has no live records.
+    pub fn is_dead(&self, segment_id: u32) -> bool {
+        !self.live_bytes_by_segment.contains_key(&segment_id)
     }
 
-    /// The active segment is full: the next record goes into a new one.
-    pub fn should_seal(&self, records: bool, bytes: u64) -> bool {
-        let size = self.segment_size();
-        self.active.is_some_and(|(_, active)| records && active + bytes > size)
+    /// Returns whether the active segment must be sealed before a record of this size is appended. A segment
+    /// without records takes a record of any size.
+    pub fn should_seal(&self, has_records: bool, record_bytes: u64) -> bool {
+        let target_bytes = self.target_segment_bytes();
+        self.active_segment
+            .is_some_and(|(_, active_bytes)| has_records && active_bytes + record_bytes > target_bytes)
     }
 
-    /// Room that only compaction may use: for what is live in one segment, while it stands in both places.
-    fn copy_room(&self, bytes: u64) -> u64 {
-        in_blocks(self.segment_size() + self.largest.max(bytes)) + SLACK
+    /// Returns the space that only compaction may use: for the live records of one segment, which exist twice
+    /// until the old segment is removed.
+    fn compaction_reserve(&self, record_bytes: u64) -> u64 {
+        round_up_to_blocks(self.target_segment_bytes() + self.largest_record_bytes.max(record_bytes))
+            + OVERHEAD_BYTES
     }
 
-    /// A record of so many bytes can be appended now.
-    pub fn fits(&self, bytes: u64) -> bool {
-        // The oldest may be from a time when the limit, and with it the segments, were larger.
-        let oldest = self.sealed.first_key_value().map_or(0, |(_, bytes)| in_blocks(*bytes) + SLACK);
-        let copy_room = self.copy_room(bytes).max(oldest);
-        !self.enforced || self.used_bytes() + in_blocks(bytes) + copy_room <= self.limit
+    /// Returns whether a record can be appended now.
+    pub fn fits(&self, record_bytes: u64) -> bool {
+        // The oldest segment may be larger than today's target size: the limit may have been higher when it
+        // was written.
+        let oldest_bytes = self
+            .sealed_sizes
+            .first_key_value()
+            .map_or(0, |(_, size_bytes)| round_up_to_blocks(*size_bytes) + OVERHEAD_BYTES);
+        let compaction_reserve = self.compaction_reserve(record_bytes).max(oldest_bytes);
+        !self.limit_enforced
+            || self.used_bytes() + round_up_to_blocks(record_bytes) + compaction_reserve <= self.limit_bytes
     }
 
-    /// The size of the log at which compaction has to begin.
-    fn full_at(&self, bytes: u64) -> u64 {
-        self.limit.saturating_sub(self.copy_room(bytes)) / (MIN_SCAN_RATIO + 1) * MIN_SCAN_RATIO
+    /// Returns the size of the log at which compaction must begin: `T` in the module documentation.
+    fn compaction_threshold(&self, record_bytes: u64) -> u64 {
+        self.limit_bytes.saturating_sub(self.compaction_reserve(record_bytes)) / (MIN_SCAN_RATIO + 1)
+            * MIN_SCAN_RATIO
     }
 
-    /// There is room for another `bytes` of live records beside those that are live or `promised`, for good.
-    pub fn has_space_for(&self, bytes: u64, promised: u64) -> bool {
-        let full_at = self.full_at(bytes);
-        self.live + promised + bytes <= full_at - full_at / MIN_SCAN_RATIO
+    /// Returns whether `record_bytes` of live records can be added to the present ones and to the
+    /// `reserved_bytes` of later ones such that compaction always keeps the log within the limit.
+    pub fn has_space_for(&self, record_bytes: u64, reserved_bytes: u64) -> bool {
+        let compaction_threshold = self.compaction_threshold(record_bytes);
+        self.live_bytes + reserved_bytes + record_bytes
+            <= compaction_threshold - compaction_threshold / MIN_SCAN_RATIO
     }
 
-    /// Enough is dead, or the folder full enough, that the oldest segment should be compacted.
+    /// Returns whether the oldest segment should be compacted: enough records are dead, or the log is close
+    /// to its limit.
     pub fn compaction_due(&self) -> bool {
-        let used = self.used_bytes();
-        let dead = used.saturating_sub(self.live);
-        let small = SMALL_LOG.min(self.limit / 2);
-        (used > small && dead > used / 2) || (used > self.full_at(0) && dead > used / MIN_SCAN_RATIO)
+        let used_bytes = self.used_bytes();
+        let dead_bytes = used_bytes.saturating_sub(self.live_bytes);
+        let small_log_bytes = SMALL_LOG_BYTES.min(self.limit_bytes / 2);
+        (used_bytes > small_log_bytes && dead_bytes > used_bytes / 2)
+            || (used_bytes > self.compaction_threshold(0) && dead_bytes > used_bytes / MIN_SCAN_RATIO)
     }
 
-    /// The segment to compact next: the oldest. None where only the active one is left.
+    /// Returns the oldest sealed segment, which is compacted next; `None` if only the active segment is left.
     pub fn oldest_sealed(&self) -> Option<u32> {
-        self.sealed.first_key_value().map(|(segment, _)| *segment)
+        self.sealed_sizes.first_key_value().map(|(segment_id, _)| *segment_id)
     }
 
-    /// A segment's file may be removed: nothing in it is needed, and no older one holds what its removals are about.
-    pub fn can_remove(&self, segment: u32) -> bool {
-        self.oldest_sealed() == Some(segment) && self.is_dead(segment)
+    /// Returns whether a segment's file may be removed: it has no live records, and no older segment has
+    /// records that its tombstones delete.
+    pub fn can_remove(&self, segment_id: u32) -> bool {
+        self.oldest_sealed() == Some(segment_id) && self.is_dead(segment_id)
     }
 
-    /// Bytes that a step of compaction looks through where so many were appended since the last.
-    pub fn step_budget_bytes(&self, appended: u64) -> u64 {
-        (MIN_SCAN_RATIO * appended).clamp(MIN_STEP_BYTES, LONGEST_STEP)
+    /// Returns how many bytes a compaction step may scan, given the bytes appended since the previous step.
+    pub fn step_budget_bytes(&self, appended_bytes: u64) -> u64 {
+        (MIN_SCAN_RATIO * appended_bytes).clamp(MIN_STEP_BYTES, MAX_STEP_BYTES)
     }
 
-    /// How many segments there are.
+    /// Returns the number of segments, including the active one.
     pub fn segment_count(&self) -> usize {
-        self.sealed.len() + usize::from(self.active.is_some())
+        self.sealed_sizes.len() + usize::from(self.active_segment.is_some())
     }
 
-    /// The number of the segment after all others.
+    /// Returns the id for a new segment, one above the newest.
     pub fn next_segment_id(&self) -> u32 {
-        let last = self.active.map(|a| a.0).or_else(|| self.sealed.last_key_value().map(|s| *s.0));
-        last.map_or(1, |last| last + 1)
+        let last_segment_id = self
+            .active_segment
+            .map(|active| active.0)
+            .or_else(|| self.sealed_sizes.last_key_value().map(|sealed| *sealed.0));
+        last_segment_id.map_or(1, |last_id| last_id + 1)
     }
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,10 +1,11 @@
-//! The store: does to the files what the planner says, and knows where each live record stands.
+//! The store: reads and writes the segment files as the planner decides, and keeps an index of the live
+//! records.
 
 mod compaction;
 mod open;
 
 use crate::files::Files;
-use crate::frame::{self, FRAME, HEADER, Record, RecordKind, RecordPosition, TRAILER};
+use crate::frame::{self, FRAME_OVERHEAD, HEADER_LENGTH, Record, RecordKind, RecordPosition, TRAILER_LENGTH};
 use crate::planner::Planner;
 use compaction::Compaction;
 use std::collections::{BTreeMap, VecDeque};
@@ -12,36 +13,39 @@
 
 pub use open::{OpenSummary, ReplayedRecord};
 
-/// In place of a segment's key: the record is not on disk yet, or cannot be read any more.
-const DEFERRED: u32 = u32::MAX;
-const LOST: u32 = u32::MAX - 1;
+/// Stands for a segment id in the position of a record that is not written to disk yet.
+const DEFERRED_SEGMENT_ID: u32 = u32::MAX;
+/// Stands for a segment id in the position of a record that is unreadable because it is damaged.
+const UNREADABLE_SEGMENT_ID: u32 = u32::MAX - 1;
 
-/// What becomes of a record that cannot be written.
+/// What happens to a record that cannot be written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OnError {
-    /// It is as if it had never been: for what is only promised once it is written.
+    /// It is dropped without effect. For changes that are acknowledged only after they are written.
     Discard,
-    /// It counts, and is written before any later record: for what has happened.
+    /// It takes effect in memory and is written before any later record. For events that have already
+    /// happened.
     Defer,
 }
 
-/// A live record.
+/// The location of a live record.
 #[derive(Debug, Clone, Copy)]
-struct Cell {
+struct IndexEntry {
     position: RecordPosition,
     metadata_length: u16,
     tag: u8,
 }
 
-impl Cell {
-    fn weight(&self) -> u64 {
-        frame::weight(self.position.length, self.metadata_length)
+impl IndexEntry {
+    /// Returns the bytes that the record takes up on disk, including its checkpoint item.
+    fn size_on_disk(&self) -> u64 {
+        frame::size_on_disk(self.position.length, self.metadata_length)
     }
 }
 
-/// A record that waits to be written.
+/// An owned copy of a record that could not be written yet.
 #[derive(Debug)]
-struct Deferred {
+struct DeferredRecord {
     kind: RecordKind,
     tag: u8,
     key: u64,
@@ -49,188 +53,204 @@
     payload: Vec<u8>,
 }
 
-impl Deferred {
+impl DeferredRecord {
     fn new(record: &Record) -> Self {
         let Record { kind, tag, key, metadata, payload } = *record;
-        Deferred { kind, tag, key, metadata: metadata.to_vec(), payload: payload.to_vec() }
+        DeferredRecord { kind, tag, key, metadata: metadata.to_vec(), payload: payload.to_vec() }
     }
 
     fn record(&self) -> Record<'_> {
-        let Deferred { kind, tag, key, metadata, payload } = self;
+        let DeferredRecord { kind, tag, key, metadata, payload } = self;
         Record { kind: *kind, tag: *tag, key: *key, metadata, payload }
     }
 }
 
 /// The segment that records are appended to.
 #[derive(Debug)]
-struct Active {
-    segment: u32,
+struct ActiveSegment {
+    segment_id: u32,
     name: String,
+    /// Length of the header and of all whole records, in bytes.
     length: u64,
-    /// The checkpoint's items for the records so far.
-    items: Vec<u8>,
-    /// Half of a record may stand at its end.
-    in_doubt: bool,
+    /// Encoded checkpoint items of the records so far.
+    checkpoint_items: Vec<u8>,
+    /// The file may end in part of a record, which must be cut off before the next append.
+    may_have_torn_tail: bool,
 }
 
-impl Active {
+impl ActiveSegment {
+    /// Returns the length of the file in bytes after its checkpoint is written.
     fn sealed_length(&self) -> u64 {
-        self.length + (self.items.len() + FRAME + TRAILER) as u64
+        self.length + (self.checkpoint_items.len() + FRAME_OVERHEAD + TRAILER_LENGTH) as u64
     }
 }
 
-/// Numbered values, each with a small state, in the segments of one folder.
+/// A key-value store in the segments of one folder; each key has a value and, optionally, a small state.
 #[derive(Debug)]
 pub struct Store<F> {
     files: F,
     planner: Planner,
-    active: Option<Active>,
-    values: BTreeMap<u64, Cell>,
-    states: BTreeMap<u64, Cell>,
-    deferred: VecDeque<Deferred>,
+    active: Option<ActiveSegment>,
+    /// Index of the values by key.
+    values: BTreeMap<u64, IndexEntry>,
+    /// Index of the states by key.
+    states: BTreeMap<u64, IndexEntry>,
+    /// Records that could not be written yet, oldest first.
+    deferred: VecDeque<DeferredRecord>,
+    /// The segment that is being compacted.
     compaction: Option<Compaction>,
-    /// Bytes appended since the last step of compaction.
-    appended: u64,
-    /// Compaction failed: it goes on after the next append.
-    stalled: bool,
-    /// Live records that turned out to be unreadable.
-    lost: u64,
-    buffer: Vec<u8>,
+    /// Bytes of records appended since the last compaction step, including their checkpoint items.
+    appended_since_step: u64,
+    /// Compaction failed and pauses until the next append.
+    compaction_stalled: bool,
+    /// Number of live records that compaction found damaged.
+    unreadable_count: u64,
+    /// Reused for reading chunks of segments.
+    read_buffer: Vec<u8>,
 }
 
 impl<F: Files> Store<F> {
-    /// Changes the limit in bytes.
-    pub fn set_disk_limit(&mut self, limit: u64) {
-        self.planner.set_disk_limit(limit);
+    /// Changes the disk limit.
+    pub fn set_disk_limit(&mut self, limit_bytes: u64) {
+        self.planner.set_disk_limit(limit_bytes);
     }
 
-    /// Whether records have to fit in the limit, as they do at first.
+    /// Sets whether records must fit in the disk limit. They must by default.
     pub fn enforce_disk_limit(&mut self, enforced: bool) {
         self.planner.enforce_disk_limit(enforced);
     }
 
-    /// There is room for a value of so many bytes, metadata included, beside what is there and `promised`, such that
-    /// compaction can always make that room.
-    pub fn has_space_for(&self, metadata: usize, payload: usize, promised: u64) -> bool {
-        let length = (FRAME + metadata + payload) as u32;
-        self.planner.has_space_for(frame::weight(length, metadata as u16), promised)
+    /// Returns whether a value of this size fits besides the present records and `reserved_bytes` of later
+    /// ones, such that compaction can always free the space for them.
+    pub fn has_space_for(&self, metadata_length: usize, payload_length: usize, reserved_bytes: u64) -> bool {
+        let frame_length = (FRAME_OVERHEAD + metadata_length + payload_length) as u32;
+        self.planner.has_space_for(frame::size_on_disk(frame_length, metadata_length as u16), reserved_bytes)
     }
 
-    /// How many values there are.
+    /// Returns the number of values.
     pub fn len(&self) -> usize {
         self.values.len()
     }
 
+    /// Returns whether there are no values.
     pub fn is_empty(&self) -> bool {
         self.values.is_empty()
     }
 
-    /// The tag of a key's value, where it has one.
+    /// Returns the tag of a key's value; `None` if it has no value.
     pub fn tag(&self, key: u64) -> Option<u8> {
-        self.values.get(&key).map(|cell| cell.tag)
+        self.values.get(&key).map(|entry| entry.tag)
     }
 
-    /// All numbers with a value, and its tag, in order.
+    /// Iterates over the keys that have a value, in ascending order, with the value's tag.
     pub fn keys_with_tags(&self) -> impl Iterator<Item = (u64, u8)> {
-        self.values.iter().map(|(key, cell)| (*key, cell.tag))
+        self.values.iter().map(|(key, entry)| (*key, entry.tag))
     }
 
-    /// The files, for others beside the segments.
+    /// Gives access to the files, for files of the same folder that are not segments.
     pub fn files_mut(&mut self) -> &mut F {
         &mut self.files
     }
 
-    /// Ends the store; its segments stay.
+    /// Consumes the store and returns the files; the segments remain.
     pub fn into_files(self) -> F {
         self.files
     }
 
-    /// Live records that were found to be unreadable so far.
+    /// Returns the number of live records that compaction has found damaged so far.
     pub fn unreadable_count(&self) -> u64 {
-        self.lost
+        self.unreadable_count
     }
 
-    /// The planner, for its figures.
+    /// Returns the planner, for its size figures.
     pub fn planner(&self) -> &Planner {
         &self.planner
     }
 
-    /// Writes a record. After an error it counts or does not, as `on_error` says; in no case does a start find it half.
+    /// Appends a record, after any deferred ones. If writing fails, `on_error` decides whether the record
+    /// takes effect. A partly written record is never found when the store is opened again.
     pub fn append(&mut self, record: &Record, on_error: OnError) -> io::Result<()> {
-        self.stalled = false;
-        let written = self.write_deferred().and_then(|()| self.write(record));
-        match written {
+        self.compaction_stalled = false;
+        let result = self.write_deferred().and_then(|()| self.write(record));
+        match result {
             Ok(position) => {
-                self.apply(record, position);
+                self.update_index(record, position);
                 Ok(())
             }
             Err(error) => {
                 if on_error == OnError::Defer {
-                    self.deferred.push_back(Deferred::new(record));
+                    self.deferred.push_back(DeferredRecord::new(record));
                     let length = record.frame_length() as u32;
-                    self.apply(record, RecordPosition { segment: DEFERRED, offset: 0, length });
+                    self.update_index(
+                        record,
+                        RecordPosition { segment_id: DEFERRED_SEGMENT_ID, offset: 0, length },
+                    );
                 }
                 Err(error)
             }
         }
     }
 
-    /// The payload of a key's value; nothing where it has none. `InvalidData` where the record is damaged.
+    /// Reads the payload of a key's value; `None` if it has no value. Fails with `InvalidData` if the record
+    /// is damaged.
     pub fn read_value(&mut self, key: u64) -> io::Result<Option<Vec<u8>>> {
-        let Some(cell) = self.values.get(&key) else { return Ok(None) };
-        let position = cell.position;
-        if position.segment == DEFERRED {
-            let value = |d: &&Deferred| d.key == key && d.kind == RecordKind::Value;
-            return Ok(self.deferred.iter().rev().find(value).map(|d| d.payload.clone()));
+        let Some(entry) = self.values.get(&key) else { return Ok(None) };
+        let position = entry.position;
+        if position.segment_id == DEFERRED_SEGMENT_ID {
+            let is_value =
+                |deferred: &&DeferredRecord| deferred.key == key && deferred.kind == RecordKind::Value;
+            return Ok(self.deferred.iter().rev().find(is_value).map(|deferred| deferred.payload.clone()));
         }
         self.read_payload(position).map(Some)
     }
 
-    /// The payload of a record that was replayed, as long as no step of compaction was made since.
+    /// Reads the payload of a replayed record. Its position is valid until compaction first runs after the
+    /// store was opened.
     pub fn read_payload(&mut self, position: RecordPosition) -> io::Result<Vec<u8>> {
-        let name = frame::segment_name(position.segment);
+        let name = frame::segment_name(position.segment_id);
         let damaged = || {
-            let place = format!("{name}: the record at {} is damaged", position.offset);
-            io::Error::new(ErrorKind::InvalidData, place)
+            let message = format!("{name}: the record at offset {} is damaged", position.offset);
+            io::Error::new(ErrorKind::InvalidData, message)
         };
-        if position.segment == LOST {
+        if position.segment_id == UNREADABLE_SEGMENT_ID {
             return Err(damaged());
         }
         let mut bytes = vec![0; position.length as usize];
         self.files.read_at(&name, u64::from(position.offset), &mut bytes)?;
-        let payload_length = frame::decode(&bytes).ok_or_else(damaged)?.payload.len();
+        let payload_length = frame::decode_frame(&bytes).ok_or_else(damaged)?.payload.len();
         bytes.drain(..bytes.len() - payload_length);
         Ok(bytes)
     }
 
-    fn apply(&mut self, record: &Record, position: RecordPosition) {
-        let cell = Cell { position, metadata_length: record.metadata.len() as u16, tag: record.tag };
+    /// Applies a record at a position to the index.
+    fn update_index(&mut self, record: &Record, position: RecordPosition) {
+        let entry = IndexEntry { position, metadata_length: record.metadata.len() as u16, tag: record.tag };
         match record.kind {
             RecordKind::Value => {
                 if self.states.get(&record.key).is_some_and(|state| state.tag != record.tag) {
-                    self.remove_cell(RecordKind::State, record.key);
+                    self.remove_entry(RecordKind::State, record.key);
                 }
-                self.set_cell(RecordKind::Value, record.key, cell);
+                self.set_entry(RecordKind::Value, record.key, entry);
             }
-            // At a start it may come before its value, where that was copied since.
+            // During replay, a state may come before its value, if compaction has copied the value since.
             RecordKind::State => {
                 if self.tag(record.key).is_none_or(|tag| tag == record.tag) {
-                    self.set_cell(RecordKind::State, record.key, cell);
+                    self.set_entry(RecordKind::State, record.key, entry);
                 }
             }
             RecordKind::Tombstone => {
-                self.remove_cell(RecordKind::Value, record.key);
-                self.remove_cell(RecordKind::State, record.key);
+                self.remove_entry(RecordKind::Value, record.key);
+                self.remove_entry(RecordKind::State, record.key);
             }
             RecordKind::Checkpoint => {}
         }
     }
 
-    fn cells(&mut self, kind: RecordKind) -> &mut BTreeMap<u64, Cell> {
+    fn entries(&mut self, kind: RecordKind) -> &mut BTreeMap<u64, IndexEntry> {
         if kind == RecordKind::State { &mut self.states } else { &mut self.values }
     }
 
-    fn cell(&self, kind: RecordKind, key: u64) -> Option<&Cell> {
+    fn entry(&self, kind: RecordKind, key: u64) -> Option<&IndexEntry> {
         match kind {
             RecordKind::Value => self.values.get(&key),
             RecordKind::State => self.states.get(&key),
@@ -238,27 +258,27 @@
         }
     }
 
-    fn set_cell(&mut self, kind: RecordKind, key: u64, cell: Cell) {
-        self.planner.add_live_record(cell.position.segment, cell.weight());
-        if let Some(old) = self.cells(kind).insert(key, cell) {
-            self.planner.remove_live_record(old.position.segment, old.weight());
+    fn set_entry(&mut self, kind: RecordKind, key: u64, entry: IndexEntry) {
+        self.planner.add_live_record(entry.position.segment_id, entry.size_on_disk());
+        if let Some(old) = self.entries(kind).insert(key, entry) {
+            self.planner.remove_live_record(old.position.segment_id, old.size_on_disk());
         }
     }
 
-    fn remove_cell(&mut self, kind: RecordKind, key: u64) {
-        if let Some(old) = self.cells(kind).remove(&key) {
-            self.planner.remove_live_record(old.position.segment, old.weight());
+    fn remove_entry(&mut self, kind: RecordKind, key: u64) {
+        if let Some(old) = self.entries(kind).remove(&key) {
+            self.planner.remove_live_record(old.position.segment_id, old.size_on_disk());
         }
     }
 
-    /// The same record stands somewhere else from now on.
-    fn move_cell(&mut self, kind: RecordKind, key: u64, position: RecordPosition) {
-        if let Some(cell) = self.cell(kind, key).copied() {
-            self.set_cell(kind, key, Cell { position, ..cell });
+    /// Sets the new position of a record that was copied or written.
+    fn move_entry(&mut self, kind: RecordKind, key: u64, position: RecordPosition) {
+        if let Some(entry) = self.entry(kind, key).copied() {
+            self.set_entry(kind, key, IndexEntry { position, ..entry });
         }
     }
 
-    /// Writes the records that wait. What cannot be written goes on waiting.
+    /// Writes the deferred records, oldest first. After an error, the remaining ones stay deferred.
     pub fn write_deferred(&mut self) -> io::Result<()> {
         while let Some(deferred) = self.deferred.pop_front() {
             let position = match self.write(&deferred.record()) {
@@ -268,84 +288,101 @@
                     return Err(error);
                 }
             };
-            let waits = |cell: &Cell| cell.position.segment == DEFERRED && cell.tag == deferred.tag;
-            if self.cell(deferred.kind, deferred.key).is_some_and(waits) {
-                self.move_cell(deferred.kind, deferred.key, position);
+            let is_deferred = |entry: &IndexEntry| {
+                entry.position.segment_id == DEFERRED_SEGMENT_ID && entry.tag == deferred.tag
+            };
+            if self.entry(deferred.kind, deferred.key).is_some_and(is_deferred) {
+                self.move_entry(deferred.kind, deferred.key, position);
             }
         }
         Ok(())
     }
 
+    /// Appends a record, after freeing space for it if necessary.
     fn write(&mut self, record: &Record) -> io::Result<RecordPosition> {
-        if !self.planner.fits(record.weight()) {
-            self.make_room(record.weight())?;
+        if !self.planner.fits(record.size_on_disk()) {
+            self.free_space_for(record.size_on_disk())?;
         }
         let mut frame = Vec::with_capacity(record.frame_length());
         record.encode(&mut frame);
         let position = self.write_frame(record, &frame)?;
-        self.appended += record.weight();
+        self.appended_since_step += record.size_on_disk();
         Ok(position)
     }
 
-    /// Appends a whole frame to the active segment. What fails is cut off again.
+    /// Appends a whole frame to the active segment. After a failure, bytes that were written are cut off
+    /// again.
     fn write_frame(&mut self, record: &Record, frame: &[u8]) -> io::Result<RecordPosition> {
-        self.ready_active(record.weight())?;
+        self.prepare_active_segment(record.size_on_disk())?;
         let Some(active) = &mut self.active else { return Err(ErrorKind::NotFound.into()) };
         if let Err(error) = self.files.append(&active.name, frame) {
-            active.in_doubt = self.files.truncate(&active.name, active.length).is_err();
+            active.may_have_torn_tail = self.files.truncate(&active.name, active.length).is_err();
             return Err(error);
         }
-        let (segment, offset, length) = (active.segment, active.length as u32, frame.len() as u32);
-        frame::encode_item(&mut active.items, record, offset);
+        let (segment_id, offset, length) = (active.segment_id, active.length as u32, frame.len() as u32);
+        frame::encode_checkpoint_item(&mut active.checkpoint_items, record, offset);
         active.length += u64::from(length);
-        self.planner.set_active_segment(segment, active.sealed_length());
-        Ok(RecordPosition { segment, offset, length })
+        self.planner.set_active_segment(segment_id, active.sealed_length());
+        Ok(RecordPosition { segment_id, offset, length })
     }
 
-    /// Sees to an active segment that takes a record of so many bytes.
-    fn ready_active(&mut self, bytes: u64) -> io::Result<()> {
-        if let Some(active) = self.active.as_mut().filter(|a| a.in_doubt) {
+    /// Makes sure that there is an active segment with space for a record of this size.
+    fn prepare_active_segment(&mut self, record_bytes: u64) -> io::Result<()> {
+        if let Some(active) = self.active.as_mut().filter(|active| active.may_have_torn_tail) {
             self.files.truncate(&active.name, active.length)?;
-            active.in_doubt = false;
+            active.may_have_torn_tail = false;
         }
         if let Some(active) = &self.active
-            && self.planner.should_seal(!active.items.is_empty(), bytes)
+            && self.planner.should_seal(!active.checkpoint_items.is_empty(), record_bytes)
         {
-            self.seal();
+            self.seal_active_segment();
         }
         if self.active.is_none() {
-            self.create_active()?;
+            self.create_active_segment()?;
         }
         Ok(())
     }
 
-    fn create_active(&mut self) -> io::Result<()> {
-        let segment = self.planner.next_segment_id();
-        let name = frame::segment_name(segment);
-        let header = frame::header(segment);
+    /// Creates the next segment and makes it the active one.
+    fn create_active_segment(&mut self) -> io::Result<()> {
+        let segment_id = self.planner.next_segment_id();
+        let name = frame::segment_name(segment_id);
+        let header = frame::encode_header(segment_id);
         let created = self.files.create(&name).and_then(|()| self.files.append(&name, &header));
         if let Err(error) = created {
-            // Where it cannot be removed it is made anew with the next try, and dropped by a start.
+            // If the file cannot be removed, the next attempt replaces it, or opening the store drops it.
             let _ = self.files.remove(&name);
             return Err(error);
         }
-        let active = Active { segment, name, length: HEADER as u64, items: Vec::new(), in_doubt: false };
-        self.planner.set_active_segment(segment, active.sealed_length());
+        let active = ActiveSegment {
+            segment_id,
+            name,
+            length: HEADER_LENGTH as u64,
+            checkpoint_items: Vec::new(),
+            may_have_torn_tail: false,
+        };
+        self.planner.set_active_segment(segment_id, active.sealed_length());
         self.active = Some(active);
         Ok(())
     }
 
-    /// Ends the active segment with its checkpoint. One without is read as a whole at the next start, nothing more.
-    fn seal(&mut self) {
+    /// Writes the active segment's checkpoint and seals the segment. If that fails, the only effect is that
+    /// the whole segment is read when the store is opened again.
+    fn seal_active_segment(&mut self) {
         let Some(active) = self.active.take() else { return };
-        let key = u64::from(active.segment);
-        let checkpoint =
-            Record { kind: RecordKind::Checkpoint, tag: 0, key, metadata: &[], payload: &active.items };
-        let mut bytes = Vec::with_capacity(checkpoint.frame_length() + TRAILER);
+        let key = u64::from(active.segment_id);
+        let checkpoint = Record {
+            kind: RecordKind::Checkpoint,
+            tag: 0,
+            key,
+            metadata: &[],
+            payload: &active.checkpoint_items,
+        };
+        let mut bytes = Vec::with_capacity(checkpoint.frame_length() + TRAILER_LENGTH);
         checkpoint.encode(&mut bytes);
-        bytes.extend_from_slice(&frame::trailer(active.length as u32));
+        bytes.extend_from_slice(&frame::encode_trailer(active.length as u32));
         if self.files.append(&active.name, &bytes).is_err() {
-            // What may stand behind the records is no record.
+            // Best effort: an incomplete checkpoint after the records is ignored when the segment is read.
             let _ = self.files.truncate(&active.name, active.length);
         }
         self.planner.seal_active(active.sealed_length());
--- a/crates/store/src/store/open.rs
+++ b/crates/store/src/store/open.rs
@@ -1,213 +1,243 @@
-//! A start: checkpoints of sealed segments are read, and the records of those without one.
+//! Opening a store: reads the checkpoints of sealed segments, and all records of segments without a valid
+//! one.
 
-use super::{Active, Store};
+use super::{ActiveSegment, Store};
 use crate::files::Files;
-use crate::frame::{self, FRAME, HEADER, Record, RecordKind, RecordPosition, TRAILER};
+use crate::frame::{self, FRAME_OVERHEAD, HEADER_LENGTH, Record, RecordKind, RecordPosition, TRAILER_LENGTH};
 use crate::planner::Planner;
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind};
 
-/// Bytes read at once.
-pub(super) const CHUNK: usize = 64 * 1024;
+/// Bytes read from a segment at once, unless a single frame is larger.
+pub(super) const READ_CHUNK_BYTES: usize = 64 * 1024;
 
-/// A record as a start finds it, without its payload.
+/// A record as it is replayed when the store is opened, without its payload.
 #[derive(Debug, Clone, Copy)]
 pub struct ReplayedRecord<'a> {
+    /// What the record does to its key.
     pub kind: RecordKind,
+    /// The type of the value, as in [`Record::tag`].
     pub tag: u8,
+    /// The key that the record is about.
     pub key: u64,
+    /// The record's metadata, as in [`Record::metadata`].
     pub metadata: &'a [u8],
+    /// Where the payload can be read with [`Store::read_payload`].
     pub position: RecordPosition,
 }
 
-/// What a start found besides records.
+/// Figures about opening a store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OpenSummary {
-    /// Bytes of unfinished records that were dropped.
+    /// Bytes of incomplete records that were dropped.
     pub torn_bytes: u64,
-    /// Bytes that were read.
+    /// Bytes that were read from segments.
     pub read_bytes: u64,
 }
 
-/// Reads from a place in a file: a whole frame at least where one stands there, and as many as fit in a chunk. The
-/// buffer is left with whole frames only; empty where there is none.
+/// Reads the whole frames at `offset` of a file into `buffer`: as many as fit in a chunk, and at least one if
+/// a whole frame starts there. The buffer is empty if none does.
 pub(super) fn read_frames<F: Files>(
-    files: &mut F, name: &str, offset: u64, end: u64, buffer: &mut Vec<u8>,
+    files: &mut F, name: &str, offset: u64, end_offset: u64, buffer: &mut Vec<u8>,
 ) -> io::Result<()> {
-    let left = (end - offset) as usize;
-    buffer.resize(left.min(CHUNK), 0);
+    let remaining_bytes = (end_offset - offset) as usize;
+    buffer.resize(remaining_bytes.min(READ_CHUNK_BYTES), 0);
     files.read_at(name, offset, buffer)?;
-    let first = frame::frame_length(buffer).unwrap_or(usize::MAX);
-    if first > buffer.len() && first <= left {
-        buffer.resize(first, 0);
+    let first_frame_length = frame::declared_frame_length(buffer).unwrap_or(usize::MAX);
+    if first_frame_length > buffer.len() && first_frame_length <= remaining_bytes {
+        buffer.resize(first_frame_length, 0);
         files.read_at(name, offset, buffer)?;
     }
-    let mut whole = 0;
-    while let Some(length) = frame::frame_length(&buffer[whole..]).filter(|l| *l <= buffer.len() - whole) {
-        whole += length;
+    let mut whole_length = 0;
+    while let Some(length) = frame::declared_frame_length(&buffer[whole_length..])
+        .filter(|length| *length <= buffer.len() - whole_length)
+    {
+        whole_length += length;
     }
-    buffer.truncate(whole);
+    buffer.truncate(whole_length);
     Ok(())
 }
 
 impl<F: Files> Store<F> {
-    /// Opens the segments among the files, which may take up `limit` bytes together. `replay` is told each record in
-    /// the order they were written, those that are not live any more among them.
+    /// Opens the segments among the files, which may take up `limit_bytes` on disk together. Calls `replay`
+    /// for each record in the order they were written, including records that are no longer live.
     ///
-    /// `InvalidData` where a segment is of another version.
+    /// Fails with `InvalidData` if a segment has another format version.
     pub fn open(
-        files: F, limit: u64, mut replay: impl FnMut(ReplayedRecord),
+        files: F, limit_bytes: u64, mut replay: impl FnMut(ReplayedRecord),
     ) -> io::Result<(Self, OpenSummary)> {
-        let mut segments: Vec<u32> =
-            files.list()?.iter().filter_map(|name| frame::segment_id(name)).collect();
-        segments.sort_unstable();
+        let mut segment_ids: Vec<u32> =
+            files.list()?.iter().filter_map(|name| frame::parse_segment_name(name)).collect();
+        segment_ids.sort_unstable();
         let mut store = Store {
             files,
-            planner: Planner::new(limit),
+            planner: Planner::new(limit_bytes),
             active: None,
             values: BTreeMap::new(),
             states: BTreeMap::new(),
             deferred: VecDeque::new(),
             compaction: None,
-            appended: 0,
-            stalled: false,
-            lost: 0,
-            buffer: Vec::new(),
+            appended_since_step: 0,
+            compaction_stalled: false,
+            unreadable_count: 0,
+            read_buffer: Vec::new(),
         };
-        // Nothing is changed before all of them are known to be of this version.
-        for segment in &segments {
-            store.check_version(*segment)?;
+        // Check all versions first, so that a folder with an unsupported segment is left unchanged.
+        for segment_id in &segment_ids {
+            store.check_version(*segment_id)?;
         }
-        let mut opened = OpenSummary::default();
-        let last = segments.last().copied();
-        for segment in segments {
-            let is_last = Some(segment) == last;
-            store.open_segment(segment, is_last, &mut replay, &mut opened)?;
+        let mut summary = OpenSummary::default();
+        let last_segment_id = segment_ids.last().copied();
+        for segment_id in segment_ids {
+            let is_last = Some(segment_id) == last_segment_id;
+            store.open_segment(segment_id, is_last, &mut replay, &mut summary)?;
         }
-        store.open_active()?;
-        Ok((store, opened))
+        store.ensure_active_segment()?;
+        Ok((store, summary))
     }
 
-    /// Makes sure that there is a segment to append to, and that its file is open: records can be written from then on
-    /// also where descriptors are short. Where the disk fails a start still has to read what there is.
-    fn open_active(&mut self) -> io::Result<()> {
-        let opened = match &self.active {
+    /// Makes sure that there is an active segment and that its file is open, so that records can be written
+    /// later even when no file descriptor is free. Failures other than missing write permission are ignored:
+    /// the store must be readable even if the disk is full or faulty.
+    fn ensure_active_segment(&mut self) -> io::Result<()> {
+        let result = match &self.active {
             Some(active) => self.files.append(&active.name, &[]),
-            None => self.create_active(),
+            None => self.create_active_segment(),
         };
         let forbidden = [ErrorKind::PermissionDenied, ErrorKind::ReadOnlyFilesystem];
-        opened.or_else(|error| if forbidden.contains(&error.kind()) { Err(error) } else { Ok(()) })
+        result.or_else(|error| if forbidden.contains(&error.kind()) { Err(error) } else { Ok(()) })
     }
 
-    fn check_version(&mut self, segment: u32) -> io::Result<()> {
-        let name = frame::segment_name(segment);
-        if self.files.length(&name)? < HEADER as u64 {
+    /// Checks the header of a segment, if it is complete.
+    fn check_version(&mut self, segment_id: u32) -> io::Result<()> {
+        let name = frame::segment_name(segment_id);
+        if self.files.length(&name)? < HEADER_LENGTH as u64 {
             return Ok(());
         }
-        let mut header = [0; HEADER];
+        let mut header = [0; HEADER_LENGTH];
         self.files.read_at(&name, 0, &mut header)?;
-        frame::check_header(&header, segment)
+        frame::check_header(&header, segment_id)
     }
 
+    /// Replays a segment. The last one becomes the active segment, unless it is sealed.
     fn open_segment(
-        &mut self, segment: u32, is_last: bool, replay: &mut impl FnMut(ReplayedRecord),
-        opened: &mut OpenSummary,
+        &mut self, segment_id: u32, is_last: bool, replay: &mut impl FnMut(ReplayedRecord),
+        summary: &mut OpenSummary,
     ) -> io::Result<()> {
-        let name = frame::segment_name(segment);
+        let name = frame::segment_name(segment_id);
         let length = self.files.length(&name)?;
-        if length < HEADER as u64 {
-            // The process ended while it made this one.
-            opened.torn_bytes += length;
-            // Where it cannot be removed it is made anew, as its key is the next one.
+        if length < HEADER_LENGTH as u64 {
+            // The process was killed while it created this segment.
+            summary.torn_bytes += length;
+            // If the file cannot be removed, it is replaced later, as its id is the next one to be created.
             let _ = self.files.remove(&name);
             return Ok(());
         }
-        self.planner.add_sealed_segment(segment, length);
+        self.planner.add_sealed_segment(segment_id, length);
         if let Some(items) = self.read_checkpoint(&name, length)? {
-            opened.read_bytes += items.len() as u64;
-            self.replay_items(segment, &items, replay);
+            summary.read_bytes += items.len() as u64;
+            self.replay_items(segment_id, &items, replay);
             return Ok(());
         }
-        let (whole, items) = self.replay_frames(segment, length, replay)?;
-        opened.read_bytes += length;
-        opened.torn_bytes += length - whole;
+        let (whole_length, items) = self.replay_frames(segment_id, length, replay)?;
+        summary.read_bytes += length;
+        summary.torn_bytes += length - whole_length;
         if is_last {
-            // Where it cannot be cut off now it is before the next record.
-            let in_doubt = whole < length && self.files.truncate(&name, whole).is_err();
-            let active = Active { segment, name, length: whole, items, in_doubt };
-            self.planner.remove_segment(segment);
-            self.planner.set_active_segment(segment, active.sealed_length());
+            // If the torn tail cannot be cut off now, that is done before the next append.
+            let may_have_torn_tail =
+                whole_length < length && self.files.truncate(&name, whole_length).is_err();
+            let active = ActiveSegment {
+                segment_id,
+                name,
+                length: whole_length,
+                checkpoint_items: items,
+                may_have_torn_tail,
+            };
+            self.planner.remove_segment(segment_id);
+            self.planner.set_active_segment(segment_id, active.sealed_length());
             self.active = Some(active);
         }
         Ok(())
     }
 
-    /// The items of a sealed segment's checkpoint; nothing where there is no sound one.
+    /// Reads the items of a sealed segment's checkpoint; `None` if there is no valid checkpoint.
     fn read_checkpoint(&mut self, name: &str, length: u64) -> io::Result<Option<Vec<u8>>> {
-        let Some(end) = length.checked_sub(TRAILER as u64).filter(|end| *end >= (HEADER + FRAME) as u64)
+        let Some(trailer_offset) = length
+            .checked_sub(TRAILER_LENGTH as u64)
+            .filter(|trailer_offset| *trailer_offset >= (HEADER_LENGTH + FRAME_OVERHEAD) as u64)
         else {
             return Ok(None);
         };
-        let mut trailer = [0; TRAILER];
-        self.files.read_at(name, end, &mut trailer)?;
-        let Some(offset) = frame::decode_trailer(&trailer).filter(|o| (HEADER as u64..end).contains(o))
+        let mut trailer = [0; TRAILER_LENGTH];
+        self.files.read_at(name, trailer_offset, &mut trailer)?;
+        let Some(checkpoint_offset) = frame::decode_trailer(&trailer)
+            .filter(|offset| (HEADER_LENGTH as u64..trailer_offset).contains(offset))
         else {
             return Ok(None);
         };
-        let mut bytes = vec![0; (end - offset) as usize];
-        self.files.read_at(name, offset, &mut bytes)?;
-        let Some(checkpoint) = frame::decode(&bytes).filter(|r| r.kind == RecordKind::Checkpoint) else {
+        let mut bytes = vec![0; (trailer_offset - checkpoint_offset) as usize];
+        self.files.read_at(name, checkpoint_offset, &mut bytes)?;
+        let Some(checkpoint) =
+            frame::decode_frame(&bytes).filter(|record| record.kind == RecordKind::Checkpoint)
+        else {
             return Ok(None);
         };
         let mut items = checkpoint.payload;
         while !items.is_empty() {
-            let sound = |(_, at, length): &(Record, u32, u32)| u64::from(*at) + u64::from(*length) <= offset;
-            if !frame::decode_item(&mut items).as_ref().is_some_and(sound) {
+            let is_in_bounds = |(_, record_offset, record_length): &(Record, u32, u32)| {
+                u64::from(*record_offset) + u64::from(*record_length) <= checkpoint_offset
+            };
+            if !frame::decode_checkpoint_item(&mut items).as_ref().is_some_and(is_in_bounds) {
                 return Ok(None);
             }
         }
         Ok(Some(checkpoint.payload.to_vec()))
     }
 
-    fn replay_items(&mut self, segment: u32, mut items: &[u8], replay: &mut impl FnMut(ReplayedRecord)) {
-        while let Some((record, offset, length)) = frame::decode_item(&mut items) {
-            self.replay_record(&record, RecordPosition { segment, offset, length }, replay);
+    /// Replays the records that a checkpoint lists.
+    fn replay_items(&mut self, segment_id: u32, mut items: &[u8], replay: &mut impl FnMut(ReplayedRecord)) {
+        while let Some((record, offset, length)) = frame::decode_checkpoint_item(&mut items) {
+            self.replay_record(&record, RecordPosition { segment_id, offset, length }, replay);
         }
     }
 
-    /// Replays the records of a segment without a checkpoint: where they end, and the items for one.
+    /// Replays the records of a segment without a checkpoint. Returns the offset at which they end and their
+    /// encoded checkpoint items.
     fn replay_frames(
-        &mut self, segment: u32, end: u64, replay: &mut impl FnMut(ReplayedRecord),
+        &mut self, segment_id: u32, end_offset: u64, replay: &mut impl FnMut(ReplayedRecord),
     ) -> io::Result<(u64, Vec<u8>)> {
-        let name = frame::segment_name(segment);
-        let (mut offset, mut items) = (HEADER as u64, Vec::new());
-        let mut buffer = std::mem::take(&mut self.buffer);
-        'chunks: while offset < end {
-            read_frames(&mut self.files, &name, offset, end, &mut buffer)?;
+        let name = frame::segment_name(segment_id);
+        let (mut offset, mut items) = (HEADER_LENGTH as u64, Vec::new());
+        let mut buffer = std::mem::take(&mut self.read_buffer);
+        'chunks: while offset < end_offset {
+            read_frames(&mut self.files, &name, offset, end_offset, &mut buffer)?;
             let mut rest = buffer.as_slice();
-            while let Some(length) = frame::frame_length(rest) {
-                let (frame, behind) = rest.split_at(length);
-                let Some(record) = frame::decode(frame).filter(|r| r.kind != RecordKind::Checkpoint) else {
+            while let Some(length) = frame::declared_frame_length(rest) {
+                let (frame, following) = rest.split_at(length);
+                let Some(record) =
+                    frame::decode_frame(frame).filter(|record| record.kind != RecordKind::Checkpoint)
+                else {
                     break 'chunks;
                 };
-                frame::encode_item(&mut items, &record, offset as u32);
-                let position = RecordPosition { segment, offset: offset as u32, length: length as u32 };
+                frame::encode_checkpoint_item(&mut items, &record, offset as u32);
+                let position = RecordPosition { segment_id, offset: offset as u32, length: length as u32 };
                 self.replay_record(&record, position, replay);
                 offset += length as u64;
-                rest = behind;
+                rest = following;
             }
             if buffer.is_empty() {
                 break;
             }
         }
-        self.buffer = buffer;
+        self.read_buffer = buffer;
         Ok((offset, items))
     }
 
+    /// Applies a record to the index and passes it to the caller of [`Store::open`].
     fn replay_record(
         &mut self, record: &Record, position: RecordPosition, replay: &mut impl FnMut(ReplayedRecord),
     ) {
-        self.apply(record, position);
+        self.update_index(record, position);
         let Record { kind, tag, key, metadata, .. } = *record;
         replay(ReplayedRecord { kind, tag, key, metadata, position });
     }
