--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -5,10 +5,10 @@
 use crate::hollow::{HollowSender, HollowSenders, MOST_TOGETHER};
 use crate::process::Sender;
 use crate::settings::SenderSettings;
-use crate::standins::judge::{Breach, Counts, Judge, Terms};
+use crate::standins::judge::{Breach, Judge, RuleParameters, RunCounts};
 use crate::standins::list_service::{Endpoint, ListService};
-use crate::standins::receivers::{Behaviour, Receivers, Record};
-use crate::standins::server::{Replies, Server};
+use crate::standins::receivers::{Behaviour, Receivers, SharedJudge};
+use crate::standins::server::{Server, ServerActions};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -132,7 +132,7 @@
 
 /// A running fleet. Its processes end when it is dropped.
 pub struct Fleet {
-    pub record: Record,
+    pub record: SharedJudge,
     pub list: Server<ListService>,
     pub receivers: Server<Receivers>,
     pub senders: Vec<Sender>,
@@ -141,17 +141,17 @@
     /// Where each sender listens: the processes of the program first.
     pub listen: Vec<SocketAddr>,
     pub endpoints: Vec<Endpoint>,
-    pub terms: Terms,
+    pub terms: RuleParameters,
 }
 
 impl Fleet {
     /// Starts the stand-ins and prepares the senders, which are not started yet.
     pub fn prepare(plan: &Plan, guard: &Arc<Guard>) -> Result<Fleet, Error> {
-        let (addresses, terms) = (Addresses::new(), Terms::default());
-        let record = Record::new(Judge::new(terms.clone()));
+        let (addresses, terms) = (Addresses::new(), RuleParameters::default());
+        let record = SharedJudge::new(Judge::new(terms.clone()));
         let dials = addresses.receivers();
         let receivers = Server::start(&dials, Receivers::new(record.clone(), plan.behaviour))?;
-        let endpoint = |dest: u32| Endpoint::of(dest, dials[dest as usize % dials.len()], plan.rate);
+        let endpoint = |dest: u32| Endpoint::new(dest, dials[dest as usize % dials.len()], plan.rate);
         let endpoints: Vec<Endpoint> = (0..plan.destinations).map(endpoint).collect();
         let count = plan.senders + plan.hollow;
         let places =
@@ -203,16 +203,16 @@
 
     /// Asks or tells the receivers something.
     pub fn receivers<T: Send + 'static>(
-        &self, task: impl FnOnce(&mut Receivers, &mut Replies) -> T + Send + 'static,
+        &self, task: impl FnOnce(&mut Receivers, &mut ServerActions) -> T + Send + 'static,
     ) -> Result<T, Error> {
-        self.receivers.with(task).ok_or_else(|| Error::Failed("the receivers have ended".into()))
+        self.receivers.with_service(task).ok_or_else(|| Error::Failed("the receivers have ended".into()))
     }
 
     /// Asks or tells the list service something.
     pub fn list<T: Send + 'static>(
-        &self, task: impl FnOnce(&mut ListService, &mut Replies) -> T + Send + 'static,
+        &self, task: impl FnOnce(&mut ListService, &mut ServerActions) -> T + Send + 'static,
     ) -> Result<T, Error> {
-        self.list.with(task).ok_or_else(|| Error::Failed("the list service has ended".into()))
+        self.list.with_service(task).ok_or_else(|| Error::Failed("the list service has ended".into()))
     }
 
     /// Waits until something holds; true where it did within the time.
@@ -232,21 +232,21 @@
 
     /// Webhooks that were taken on and are not over.
     pub fn open(&self) -> u64 {
-        self.record.tell(|judge, _| judge.open())
+        self.record.with(|judge, _| judge.pending_count())
     }
 
     /// What the judge says at the end.
-    pub fn verdict(&self) -> (Counts, Vec<Breach>) {
-        self.record.tell(|judge, now| judge.finish(now))
+    pub fn verdict(&self) -> (RunCounts, Vec<Breach>) {
+        self.record.with(|judge, now| judge.finish(now))
     }
 }
 
 /// The verdict as an error, where a rule is broken.
-pub fn judged((counts, breaches): &(Counts, Vec<Breach>)) -> Result<(), Error> {
+pub fn judged((counts, breaches): &(RunCounts, Vec<Breach>)) -> Result<(), Error> {
     if counts.breaches == 0 {
         return Ok(());
     }
     let told: Vec<String> =
-        breaches.iter().take(10).map(|b| format!("{:.3} s {:?}: {}", b.at, b.rule, b.text)).collect();
+        breaches.iter().take(10).map(|b| format!("{:.3} s {:?}: {}", b.at_secs, b.rule, b.text)).collect();
     Err(Error::Broken(format!("rules broken {} times:\n{}", counts.breaches, told.join("\n"))))
 }
--- a/crates/scale/src/settings.rs
+++ b/crates/scale/src/settings.rs
@@ -1,8 +1,8 @@
 //! The configuration that a run hands each sender.
 
 use crate::standins::id::EventType;
-use crate::standins::judge::Terms;
-use crate::standins::list_service::{Endpoint, News};
+use crate::standins::judge::RuleParameters;
+use crate::standins::list_service::{Endpoint, ListUpdate};
 use serde_json::json;
 use std::net::SocketAddr;
 
@@ -33,7 +33,7 @@
 
 impl SenderSettings {
     /// The configuration as the platform writes it, with the list that is known at the start.
-    pub fn encode(&self, terms: &Terms, known: &[Endpoint]) -> String {
+    pub fn encode(&self, terms: &RuleParameters, known: &[Endpoint]) -> String {
         let millis = |seconds: f64| seconds * 1e3;
         let class = |event_type: EventType| {
             let effect = match event_type {
@@ -44,7 +44,7 @@
             json!({
                 "name": event_type.name(), "aim-ms": 2000.0, "deadline-ms": millis(self.ttl),
                 "effect": effect, "group": if event_type == EventType::TokenedInZone { "zone" } else { "all" }, "late-value": 0.3, "worth": 1.0,
-                "repeat-window-ms": millis(terms.repeat_window),
+                "repeat-window-ms": millis(terms.repeat_window_secs),
                 "fifo-by-key": event_type == EventType::Ordered,
             })
         };
@@ -62,10 +62,10 @@
             "membership-mode": if self.asks { "ask" } else { "push" },
             "models": ["plain"], "orgs": [],
             "rules": {
-                "cold-from": terms.returns.cold_from, "cold-ms": millis(terms.returns.cold),
-                "fall-multiple": terms.returns.fall_multiple, "tip-after-ms": millis(terms.returns.span),
-                "stop-sending-within-ms": millis(terms.drain_grace),
-                "key-rest-ms": millis(terms.key_rest), "ask-within-ms": 10_000.0,
+                "cold-from": terms.recovery.cold_rate_fraction, "cold-ms": millis(terms.recovery.warm_up_secs),
+                "fall-multiple": terms.recovery.overload_multiple, "tip-after-ms": millis(terms.recovery.overload_window_secs),
+                "stop-sending-within-ms": millis(terms.drain_grace_secs),
+                "key-rest-ms": millis(terms.ordering_key_pause_secs), "ask-within-ms": 10_000.0,
             },
             "weights": if self.rates_listed { "nominal" } else { "none" },
         });
@@ -73,7 +73,7 @@
             "name": format!("n{}", self.me), "listen": self.listen, "discovery": self.discovery,
             "seed": format!("{:016x}", 0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(u64::from(self.me) + 1)),
             "limits": { "cores": 1.0, "sockets": self.sockets, "disk_mb": self.disk_mb },
-            "known": News { seq: 1, whole: true, hosts: known.iter().collect() },
+            "known": ListUpdate { seq: 1, whole: true, hosts: known.iter().collect() },
             "settings": settings,
         });
         config.to_string()
--- a/crates/scale/src/soak/clients.rs
+++ b/crates/scale/src/soak/clients.rs
@@ -4,9 +4,9 @@
 use super::plan::Settings;
 use crate::draws::Draws;
 use crate::interrupt::Stop;
-use crate::standins::clients::{Client, Heard};
+use crate::standins::clients::{Client, HandInResult};
 use crate::standins::id::{EventType, WebhookId};
-use crate::standins::receivers::Record;
+use crate::standins::receivers::SharedJudge;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -31,7 +31,7 @@
 pub struct Door {
     pub me: u16,
     pub at: SocketAddr,
-    pub record: Record,
+    pub record: SharedJudge,
     /// No two webhooks of a sender have one number.
     numbers: Arc<AtomicU32>,
     destinations: u32,
@@ -40,7 +40,7 @@
 }
 
 impl Door {
-    pub fn new(me: u16, at: SocketAddr, record: &Record, settings: &Settings) -> Door {
+    pub fn new(me: u16, at: SocketAddr, record: &SharedJudge, settings: &Settings) -> Door {
         Door {
             me,
             at,
@@ -58,9 +58,9 @@
     }
 
     /// The id of a new webhook.
-    pub fn id(&self, dest: u32, event_type: EventType) -> WebhookId {
+    pub fn id(&self, destination: u32, event_type: EventType) -> WebhookId {
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        WebhookId { sender: self.me, dest, number, event_type }
+        WebhookId { sender: self.me, destination, number, event_type }
     }
 
     /// An event type without order, as others may hand in for the same key at the same time.
@@ -82,7 +82,7 @@
                 false => self.unordered(&mut draws),
             };
             let id = self.id(dest, event_type);
-            if client.hand_in(id, self.ttl) != Heard::Taken {
+            if client.hand_in(id, self.ttl) != HandInResult::Accepted {
                 stop.sleep(RETRY_PAUSE);
             }
         }
@@ -126,7 +126,7 @@
         let timed_out = heard.is_err_and(|e| matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut));
         if timed_out {
             let me = self.me;
-            self.record.tell(|judge, now| judge.left_waiting(me, began, now));
+            self.record.with(|judge, now| judge.record_stalled_client(me, began, now));
         }
     }
 
--- a/crates/scale/src/soak/nemesis.rs
+++ b/crates/scale/src/soak/nemesis.rs
@@ -8,8 +8,8 @@
 use crate::interrupt::Stop;
 use crate::standins::id::EventType;
 use crate::standins::judge::Judge;
-use crate::standins::receivers::{Behaviour, Receivers, Way};
-use crate::standins::server::Replies;
+use crate::standins::receivers::{AnswerPath, Behaviour, Receivers};
+use crate::standins::server::ServerActions;
 use nix::sys::signal::Signal;
 use scalebarrow_fault_control::{RATE_UNIT, Word};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -66,16 +66,18 @@
         Kind::HangUp => outage(testbed, target, behaviour(Behaviour::HangUp)),
         Kind::Crash => crash(testbed, target, begins),
         Kind::Wait => {
-            let wait = behaviour(Behaviour::Wait(amount));
-            with_receivers(testbed, move |receivers, _| receivers.set(target as u32, wait))
+            let wait = behaviour(Behaviour::RetryAfter(amount));
+            with_receivers(testbed, move |receivers, _| {
+                receivers.set_destination_behaviour(target as u32, wait)
+            })
         }
         Kind::Late => endpoint(testbed, target, behaviour(Behaviour::Serve(Duration::from_secs_f64(amount)))),
-        Kind::Half => endpoint(testbed, target, behaviour(Behaviour::Half)),
-        Kind::Noise => endpoint(testbed, target, behaviour(Behaviour::Noise)),
-        Kind::EndKept => endpoint(testbed, target, behaviour(Behaviour::ServeAndEnd)),
+        Kind::Half => endpoint(testbed, target, behaviour(Behaviour::PartialAnswer)),
+        Kind::Noise => endpoint(testbed, target, behaviour(Behaviour::MalformedAnswer)),
+        Kind::EndKept => endpoint(testbed, target, behaviour(Behaviour::ServeAndClose)),
         Kind::Drain => drain(testbed, target, begins),
         Kind::DiscoverySilent => {
-            let told = testbed.list.with(move |list, _| list.set_silent(begins));
+            let told = testbed.list.with_service(move |list, _| list.set_silent(begins));
             told.ok_or_else(|| Error::Failed("the list service has ended".into()))
         }
         Kind::Cut => way(testbed, target, Mode::Cut, begins),
@@ -87,9 +89,9 @@
 }
 
 fn with_receivers(
-    testbed: &Testbed, task: impl FnOnce(&mut Receivers, &mut Replies) + Send + 'static,
+    testbed: &Testbed, task: impl FnOnce(&mut Receivers, &mut ServerActions) + Send + 'static,
 ) -> Result<(), Error> {
-    testbed.receivers.with(task).ok_or_else(|| Error::Failed("the receivers have ended".into()))
+    testbed.receivers.with_service(task).ok_or_else(|| Error::Failed("the receivers have ended".into()))
 }
 
 /// A destination goes out and does this, or is back.
@@ -105,8 +107,9 @@
 fn crash(testbed: &Testbed, dest: usize, begins: bool) -> Result<(), Error> {
     outage(testbed, dest, begins.then_some(Behaviour::Silent))?;
     let own: Vec<_> = testbed.endpoints_of(dest).into_iter().map(|number| testbed.at[number]).collect();
-    with_receivers(testbed, move |_, replies| {
-        own.iter().for_each(|at| if begins { replies.shut(*at) } else { replies.open(*at) });
+    with_receivers(testbed, move |_, actions| {
+        own.iter()
+            .for_each(|at| if begins { actions.close_listener(*at) } else { actions.open_listener(*at) });
     })?;
     if begins {
         return Ok(());
@@ -114,26 +117,27 @@
     let born_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |now| now.as_secs_f64() * 1e3);
     let lines = testbed.endpoints_of(dest).into_iter().map(|number| testbed.endpoints[number].clone());
     let lines =
-        lines.map(|line| crate::standins::list_service::Endpoint { born_ms: born_ms.floor(), ..line });
+        lines.map(|line| crate::standins::list_service::Endpoint { started_at_ms: born_ms.floor(), ..line });
     let lines: Vec<_> = lines.collect();
-    let told = testbed.list.with(move |list, replies| list.change(lines, replies));
+    let told = testbed.list.with_service(move |list, actions| list.update_endpoints(lines, actions));
     told.ok_or_else(|| Error::Failed("the list service has ended".into()))
 }
 
 fn endpoint(testbed: &Testbed, number: usize, behaviour: Option<Behaviour>) -> Result<(), Error> {
     let at = testbed.at[number];
-    with_receivers(testbed, move |receivers, _| receivers.set_at(at, behaviour))
+    with_receivers(testbed, move |receivers, _| receivers.set_endpoint_behaviour(at, behaviour))
 }
 
 fn drain(testbed: &Testbed, number: usize, begins: bool) -> Result<(), Error> {
     let (mut line, record) = (testbed.endpoints[number].clone(), testbed.record.clone());
     line.health = if begins { "DRAINING" } else { "SERVING" };
     let own = number as u32;
-    let told = testbed.list.with(move |list, replies| {
+    let told = testbed.list.with_service(move |list, actions| {
         let version = list.version() + 1;
-        record
-            .tell(|judge, _| if begins { judge.drain_listed(own, version) } else { judge.drain_ended(own) });
-        list.change(vec![line], replies);
+        record.with(|judge, _| {
+            if begins { judge.record_drain_listed(own, version) } else { judge.record_drain_end(own) }
+        });
+        list.update_endpoints(vec![line], actions);
     });
     told.ok_or_else(|| Error::Failed("the list service has ended".into()))
 }
@@ -146,25 +150,25 @@
         proxy.set(mode);
         return Ok(());
     }
-    set_way(testbed, number, Way::Uncertain)?;
+    set_way(testbed, number, AnswerPath::Uncertain)?;
     std::thread::sleep(TAKES_HOLD);
     proxy.set(mode);
     std::thread::sleep(TAKES_HOLD);
-    set_way(testbed, number, if begins { Way::Lossy } else { Way::Open })
+    set_way(testbed, number, if begins { AnswerPath::Broken } else { AnswerPath::Intact })
 }
 
 /// All connections to an endpoint are reset.
 fn reset_way(testbed: &Testbed, number: usize) -> Result<(), Error> {
-    set_way(testbed, number, Way::Uncertain)?;
+    set_way(testbed, number, AnswerPath::Uncertain)?;
     std::thread::sleep(TAKES_HOLD);
     testbed.proxies[number].reset_all();
     std::thread::sleep(TAKES_HOLD);
-    set_way(testbed, number, Way::Open)
+    set_way(testbed, number, AnswerPath::Intact)
 }
 
-fn set_way(testbed: &Testbed, number: usize, way: Way) -> Result<(), Error> {
+fn set_way(testbed: &Testbed, number: usize, way: AnswerPath) -> Result<(), Error> {
     let at = testbed.at[number];
-    with_receivers(testbed, move |receivers, _| receivers.set_way(at, way))
+    with_receivers(testbed, move |receivers, _| receivers.set_answer_path(at, way))
 }
 
 /// Carries out the faults of one sender. At the end it runs and nothing fails any more.
@@ -219,7 +223,9 @@
         Kind::Reload if begins => reload(testbed, subject, amount as usize)?,
         Kind::Crowd if begins => {
             let (door, stop, lasts) = (door.clone(), stop.clone(), Duration::from_secs_f64(event.lasts));
-            testbed.record.tell(|judge, now| judge.crowded(door.me, now, now + lasts.as_secs_f64()));
+            testbed
+                .record
+                .with(|judge, now| judge.record_connection_flood(door.me, now, now + lasts.as_secs_f64()));
             std::thread::spawn(move || door.crowd(amount as usize, lasts, &stop));
         }
         Kind::StopMidway if begins => {
@@ -279,28 +285,28 @@
 
 fn kill(testbed: &Testbed, subject: &mut Subject) -> Result<(), Error> {
     let me = subject.me;
-    testbed.record.tell(|judge, now| judge.sender_down(me, now));
+    testbed.record.with(|judge, now| judge.record_sender_stop(me, now));
     subject.sender.end(Signal::SIGKILL)?;
-    testbed.record.tell(|judge, now| Judge::sender_ended(judge, me, now));
+    testbed.record.with(|judge, now| Judge::record_sender_exit(judge, me, now));
     Ok(())
 }
 
 fn terminate(testbed: &Testbed, subject: &mut Subject) -> Result<(), Error> {
     let (me, began) = (subject.me, Instant::now());
-    testbed.record.tell(|judge, now| judge.sender_down(me, now));
+    testbed.record.with(|judge, now| judge.record_sender_stop(me, now));
     subject.sender.signal(Signal::SIGTERM)?;
     while subject.sender.runs() && began.elapsed() < TERM_LIMIT {
         std::thread::sleep(LOOK);
     }
     subject.sender.end(Signal::SIGKILL)?;
-    testbed.record.tell(|judge, now| Judge::sender_ended(judge, me, now));
+    testbed.record.with(|judge, now| Judge::record_sender_exit(judge, me, now));
     Ok(())
 }
 
 fn start(testbed: &Testbed, subject: &mut Subject) -> Result<(), Error> {
     subject.sender.start()?;
     let me = subject.me;
-    testbed.record.tell(|judge, now| judge.sender_up(me, now));
+    testbed.record.with(|judge, now| judge.record_sender_ready(me, now));
     Ok(())
 }
 
@@ -309,5 +315,5 @@
     for proxy in &testbed.proxies {
         proxy.set(Mode::Pass);
     }
-    with_receivers(testbed, |receivers, _| receivers.set_usual(Behaviour::Serve(SERVICE)))
+    with_receivers(testbed, |receivers, _| receivers.set_default_behaviour(Behaviour::Serve(SERVICE)))
 }
--- a/crates/scale/src/soak/run.rs
+++ b/crates/scale/src/soak/run.rs
@@ -7,7 +7,7 @@
 use crate::error::Error;
 use crate::guard::Guard;
 use crate::interrupt::Stop;
-use crate::standins::judge::{Breach, Counts};
+use crate::standins::judge::{Breach, RunCounts};
 use scalebarrow_fault_control::Word;
 use std::fmt::Write;
 use std::path::Path;
@@ -34,7 +34,7 @@
 
 /// What came of a run.
 pub struct Outcome {
-    pub counts: Counts,
+    pub counts: RunCounts,
     restarts: u32,
     /// Hold-ups, faults of socket calls and of the folder, as the shim counted them.
     faults: [u64; 3],
@@ -44,17 +44,18 @@
 impl Outcome {
     /// A text that tells it.
     pub fn report(&self, plan: &Plan) -> String {
-        let Counts { taken, refused, unanswered, calls, delivered, given_up, open, breaches } = self.counts;
+        let RunCounts { accepted, refused, unanswered, calls, delivered, given_up, pending, breaches } =
+            self.counts;
         let [hold_ups, sockets, folder] = self.faults;
         let mut text = format!(
-            "seed {}: {taken} taken on, {refused} refused, {unanswered} unanswered, {calls} calls, {delivered} \
-             delivered, {given_up} given up, {open} open; {} restarts, {hold_ups} hold-ups, {sockets} socket \
+            "seed {}: {accepted} taken on, {refused} refused, {unanswered} unanswered, {calls} calls, {delivered} \
+             delivered, {given_up} given up, {pending} open; {} restarts, {hold_ups} hold-ups, {sockets} socket \
              faults, {folder} folder faults; {breaches} breaches\n",
             plan.seed, self.restarts
         );
         for Finding { breach, near, lines } in &self.findings {
             // Writing to a text does not fail.
-            let _ = writeln!(text, "  {:.3} s {:?}: {}", breach.at, breach.rule, breach.text);
+            let _ = writeln!(text, "  {:.3} s {:?}: {}", breach.at_secs, breach.rule, breach.text);
             for event in near {
                 let _ = writeln!(text, "    near: {event}");
             }
@@ -78,13 +79,16 @@
     let restarts = with_load(&testbed, &mut subjects, plan, began, stop)?;
     nemesis::end_all(&testbed)?;
     let until = Instant::now() + Duration::from_secs_f64(plan.settings.ttl) + MARGIN;
-    while testbed.record.tell(|judge, _| judge.open()) > 0 && Instant::now() < until && !stop.is_set() {
+    while testbed.record.with(|judge, _| judge.pending_count()) > 0
+        && Instant::now() < until
+        && !stop.is_set()
+    {
         std::thread::sleep(LOOK);
     }
     if let Some(folder) = logs {
         keep_logs(folder, plan, &subjects)?;
     }
-    let (counts, breaches) = testbed.record.tell(|judge, now| judge.finish(now));
+    let (counts, breaches) = testbed.record.with(|judge, now| judge.finish(now));
     let sum = |word: Word| subjects.iter().map(|subject| subject.control.get(word).unwrap_or(0)).sum();
     let faults = [Word::HoldUps, Word::SocketFaults, Word::FolderFaults].map(sum);
     let findings =
@@ -143,7 +147,7 @@
 
 /// What is known of a breach. `offset` is when the load began, on the judge's clock.
 fn find(breach: Breach, plan: &Plan, subjects: &[Subject], offset: f64) -> Finding {
-    let at = breach.at - offset;
+    let at = breach.at_secs - offset;
     let near = plan.events.iter().copied().filter(|event| event.is_near(at, NEAR)).collect();
     let log = |id: &crate::standins::id::WebhookId| {
         let subject = subjects.iter().find(|subject| subject.me == id.sender)?;
--- a/crates/scale/src/soak/testbed.rs
+++ b/crates/scale/src/soak/testbed.rs
@@ -8,9 +8,9 @@
 use crate::guard::Guard;
 use crate::process::Sender;
 use crate::settings::SenderSettings;
-use crate::standins::judge::{Judge, Place, ReturnTerms, Terms};
+use crate::standins::judge::{EndpointLocation, Judge, RecoveryParameters, RuleParameters};
 use crate::standins::list_service::{Endpoint, ListService};
-use crate::standins::receivers::{Behaviour, Receivers, Record};
+use crate::standins::receivers::{Behaviour, Receivers, SharedJudge};
 use crate::standins::server::Server;
 use scalebarrow_fault_control::Control;
 use std::collections::HashMap;
@@ -41,20 +41,24 @@
 
 /// All parties of a run.
 pub struct Testbed {
-    pub record: Record,
+    pub record: SharedJudge,
     pub list: Server<ListService>,
     pub receivers: Server<Receivers>,
     pub proxies: Vec<Proxy>,
     pub endpoints: Vec<Endpoint>,
     /// Where each endpoint's receiver listens, behind its proxy.
     pub at: Vec<SocketAddr>,
-    pub terms: Terms,
+    pub terms: RuleParameters,
     pub rate: f64,
 }
 
 /// The rules' figures for a plan.
-pub fn terms(settings: &Settings) -> Terms {
-    Terms { repeat_window: settings.window, returns: ReturnTerms::default(), ..Terms::default() }
+pub fn terms(settings: &Settings) -> RuleParameters {
+    RuleParameters {
+        repeat_window_secs: settings.window,
+        recovery: RecoveryParameters::default(),
+        ..RuleParameters::default()
+    }
 }
 
 impl Testbed {
@@ -64,7 +68,7 @@
     ) -> Result<(Testbed, Vec<Subject>), Error> {
         let (settings, addresses) = (&plan.settings, Addresses::new());
         let terms = terms(settings);
-        let record = Record::new(Judge::new(terms.clone()));
+        let record = SharedJudge::new(Judge::new(terms.clone()));
         let count = settings.destinations as usize * ENDPOINTS_EACH;
         let port = |first: u16, number: usize| first + number as u16;
         let at: Vec<SocketAddr> =
@@ -113,14 +117,14 @@
 }
 
 /// The place of an endpoint by its number.
-fn place(number: usize) -> Place {
-    Place { endpoint: number as u32, zone: (number % ENDPOINTS_EACH) as u8 }
+fn place(number: usize) -> EndpointLocation {
+    EndpointLocation { endpoint: number as u32, zone: (number % ENDPOINTS_EACH) as u8 }
 }
 
 fn endpoint(number: usize, dial: SocketAddr, rate: f64) -> Endpoint {
     let dest = (number / ENDPOINTS_EACH) as u32;
     let zone = ZONES[number % ENDPOINTS_EACH].to_owned();
-    Endpoint { host: format!("s-{number:08x}"), zone, ..Endpoint::of(dest, dial, rate) }
+    Endpoint { host: format!("s-{number:08x}"), zone, ..Endpoint::new(dest, dial, rate) }
 }
 
 fn sender_settings(
--- a/crates/scale/src/standins/clients.rs
+++ b/crates/scale/src/standins/clients.rs
@@ -2,7 +2,7 @@
 
 use super::id::{EventType, WebhookId};
 use super::message::take_status;
-use super::receivers::Record;
+use super::receivers::SharedJudge;
 use hdrhistogram::Histogram;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -17,47 +17,47 @@
 
 /// What a client heard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
-    Taken,
+pub enum HandInResult {
+    Accepted,
     Refused,
-    Nothing,
+    NoAnswer,
 }
 
 /// Answers of a sender, in numbers and microseconds.
 #[derive(Debug, Clone)]
-pub struct Answers {
-    pub taken: u64,
+pub struct AnswerStats {
+    pub accepted: u64,
     pub refused: u64,
-    pub nothing: u64,
-    pub micros: Histogram<u64>,
+    pub unanswered: u64,
+    pub latency_micros: Histogram<u64>,
 }
 
-impl Default for Answers {
+impl Default for AnswerStats {
     fn default() -> Self {
         // Three digits, growing as needed: such a histogram can always be made.
-        let micros = Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits are allowed"));
-        Answers { taken: 0, refused: 0, nothing: 0, micros }
+        let latency_micros = Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits are allowed"));
+        AnswerStats { accepted: 0, refused: 0, unanswered: 0, latency_micros }
     }
 }
 
-impl Answers {
+impl AnswerStats {
     /// Takes in what another client heard.
-    pub fn add(&mut self, other: &Answers) {
-        self.taken += other.taken;
+    pub fn merge(&mut self, other: &AnswerStats) {
+        self.accepted += other.accepted;
         self.refused += other.refused;
-        self.nothing += other.nothing;
+        self.unanswered += other.unanswered;
         // Histograms of one precision that grow can always be added.
-        let _ = self.micros.add(&other.micros);
+        let _ = self.latency_micros.add(&other.latency_micros);
     }
 
     /// Webhooks handed in.
     pub fn total(&self) -> u64 {
-        self.taken + self.refused + self.nothing
+        self.accepted + self.refused + self.unanswered
     }
 
     /// Milliseconds that a part of the answers did not exceed.
-    pub fn millis(&self, part: f64) -> f64 {
-        self.micros.value_at_quantile(part) as f64 / 1e3
+    pub fn latency_millis(&self, part: f64) -> f64 {
+        self.latency_micros.value_at_quantile(part) as f64 / 1e3
     }
 }
 
@@ -65,19 +65,19 @@
 pub struct Client {
     to: SocketAddr,
     stream: Option<TcpStream>,
-    record: Record,
+    record: SharedJudge,
     body: Vec<u8>,
-    pub answers: Answers,
+    pub answers: AnswerStats,
 }
 
 impl Client {
-    pub fn new(to: SocketAddr, record: Record, body: usize) -> Self {
-        Client { to, stream: None, record, body: vec![b'x'; body], answers: Answers::default() }
+    pub fn new(to: SocketAddr, record: SharedJudge, body: usize) -> Self {
+        Client { to, stream: None, record, body: vec![b'x'; body], answers: AnswerStats::default() }
     }
 
     /// Hands a webhook in and waits for the answer.
-    pub fn hand_in(&mut self, id: WebhookId, ttl: Duration) -> Heard {
-        self.record.tell(|judge, now| judge.handed_in(id, now, ttl.as_secs_f64()));
+    pub fn hand_in(&mut self, id: WebhookId, ttl: Duration) -> HandInResult {
+        self.record.with(|judge, now| judge.record_hand_in(id, now, ttl.as_secs_f64()));
         let began = Instant::now();
         // A sender may close a connection between requests: then it is handed in once more over a new one.
         let kept = self.stream.is_some();
@@ -101,27 +101,27 @@
             status = Err(ErrorKind::UnexpectedEof.into());
         }
         if ended(&status) {
-            self.record.tell(|judge, now| judge.unanswered(id, sent, now));
+            self.record.with(|judge, now| judge.record_unanswered(id, sent, now));
         }
         let heard = match status {
-            Ok(200 | 202) => Heard::Taken,
-            Ok(429 | 503) => Heard::Refused,
-            _ => Heard::Nothing,
+            Ok(200 | 202) => HandInResult::Accepted,
+            Ok(429 | 503) => HandInResult::Refused,
+            _ => HandInResult::NoAnswer,
         };
         match heard {
-            Heard::Taken => {
-                self.answers.taken += 1;
-                self.record.tell(|judge, _| judge.taken(id));
+            HandInResult::Accepted => {
+                self.answers.accepted += 1;
+                self.record.with(|judge, _| judge.record_accepted(id));
             }
-            Heard::Refused => {
+            HandInResult::Refused => {
                 self.answers.refused += 1;
-                self.record.tell(|judge, now| judge.refused(id, now));
+                self.record.with(|judge, now| judge.record_refused(id, now));
             }
-            Heard::Nothing => self.answers.nothing += 1,
+            HandInResult::NoAnswer => self.answers.unanswered += 1,
         }
-        if heard != Heard::Nothing {
+        if heard != HandInResult::NoAnswer {
             // A histogram that grows takes any value.
-            let _ = self.answers.micros.record(began.elapsed().as_micros() as u64);
+            let _ = self.answers.latency_micros.record(began.elapsed().as_micros() as u64);
         }
         heard
     }
@@ -163,7 +163,7 @@
 
 /// The bytes of a webhook handed in.
 fn request(id: WebhookId, ttl: Duration, body: &[u8]) -> Vec<u8> {
-    let (event_type, dest, size) = (id.event_type.name(), id.dest, body.len());
+    let (event_type, dest, size) = (id.event_type.name(), id.destination, body.len());
     let key = match id.event_type {
         EventType::Ordered => format!("Req-Key: k{dest}\r\n"),
         EventType::Tokened | EventType::TokenedInZone => format!("Idempotency-Key: token-{id}\r\n"),
--- a/crates/scale/src/standins/id.rs
+++ b/crates/scale/src/standins/id.rs
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WebhookId {
     pub sender: u16,
-    pub dest: u32,
+    pub destination: u32,
     /// Counted up by its client: of one sender's webhooks for one destination the later has the higher number.
     pub number: u32,
     pub event_type: EventType,
@@ -62,25 +62,26 @@
 impl fmt::Display for WebhookId {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let letter = self.event_type.letter();
-        write!(f, "{letter}-{:x}-{:x}-{:08x}", self.sender, self.dest, self.number)
+        write!(f, "{letter}-{:x}-{:x}-{:08x}", self.sender, self.destination, self.number)
     }
 }
 
 /// A text that is no id of a webhook.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NoId;
+pub struct ParseWebhookIdError;
 
 impl FromStr for WebhookId {
-    type Err = NoId;
+    type Err = ParseWebhookIdError;
 
-    fn from_str(text: &str) -> Result<Self, NoId> {
+    fn from_str(text: &str) -> Result<Self, ParseWebhookIdError> {
         let mut parts = text.split('-');
-        let mut part = || parts.next().ok_or(NoId);
+        let mut part = || parts.next().ok_or(ParseWebhookIdError);
         let letter = part()?;
-        let event_type = EventType::ALL.into_iter().find(|t| t.letter() == letter).ok_or(NoId)?;
-        let mut number = || u32::from_str_radix(part()?, 16).map_err(|_| NoId);
-        let sender = u16::try_from(number()?).map_err(|_| NoId)?;
-        let id = WebhookId { sender, dest: number()?, number: number()?, event_type };
-        if parts.next().is_some() { Err(NoId) } else { Ok(id) }
+        let event_type =
+            EventType::ALL.into_iter().find(|t| t.letter() == letter).ok_or(ParseWebhookIdError)?;
+        let mut number = || u32::from_str_radix(part()?, 16).map_err(|_| ParseWebhookIdError);
+        let sender = u16::try_from(number()?).map_err(|_| ParseWebhookIdError)?;
+        let id = WebhookId { sender, destination: number()?, number: number()?, event_type };
+        if parts.next().is_some() { Err(ParseWebhookIdError) } else { Ok(id) }
     }
 }
--- a/crates/scale/src/standins/judge/mod.rs
+++ b/crates/scale/src/standins/judge/mod.rs
@@ -8,7 +8,7 @@
 use super::id::{EventType, WebhookId};
 use drains::Drains;
 use order::Orders;
-pub use returns::ReturnTerms;
+pub use returns::RecoveryParameters;
 use returns::Returns;
 use std::collections::HashMap;
 
@@ -43,7 +43,7 @@
 
 /// Where a call came.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Place {
+pub struct EndpointLocation {
     /// The endpoint's number.
     pub endpoint: u32,
     /// The number of its zone.
@@ -55,7 +55,7 @@
 pub struct Breach {
     pub rule: Rule,
     /// Seconds since the run began.
-    pub at: f64,
+    pub at_secs: f64,
     /// The webhook that it is about, where it is about one.
     pub id: Option<WebhookId>,
     pub text: String,
@@ -63,42 +63,42 @@
 
 /// The figures that the rules name, in seconds.
 #[derive(Debug, Clone)]
-pub struct Terms {
+pub struct RuleParameters {
     /// A final answer may come so long after the deadline.
-    pub answer_grace: f64,
+    pub final_answer_grace_secs: f64,
     /// After a restart, overdue notices may come so long after the sender is ready.
-    pub restart_grace: f64,
+    pub restart_grace_secs: f64,
     /// A destination knows an idempotency key for so long.
-    pub repeat_window: f64,
+    pub repeat_window_secs: f64,
     /// Calls that are on their way when a wait is told get through for so long.
-    pub wait_grace: f64,
+    pub retry_after_grace_secs: f64,
     /// Calls that are on their way when a drain is told get through for so long.
-    pub drain_grace: f64,
+    pub drain_grace_secs: f64,
     /// An order key rests for so long after an attempt that may still run.
-    pub key_rest: f64,
+    pub ordering_key_pause_secs: f64,
     /// A client that stops in the middle of a request gets its error or its end within that.
-    pub client_patience: f64,
-    pub returns: ReturnTerms,
+    pub stalled_client_limit_secs: f64,
+    pub recovery: RecoveryParameters,
 }
 
-impl Default for Terms {
+impl Default for RuleParameters {
     fn default() -> Self {
-        Terms {
-            answer_grace: 0.35,
-            restart_grace: 1.5,
-            repeat_window: 8.0,
-            wait_grace: 0.1,
-            drain_grace: 0.5,
-            key_rest: 0.3,
-            client_patience: 3.0,
-            returns: ReturnTerms::default(),
+        RuleParameters {
+            final_answer_grace_secs: 0.35,
+            restart_grace_secs: 1.5,
+            repeat_window_secs: 8.0,
+            retry_after_grace_secs: 0.1,
+            drain_grace_secs: 0.5,
+            ordering_key_pause_secs: 0.3,
+            stalled_client_limit_secs: 3.0,
+            recovery: RecoveryParameters::default(),
         }
     }
 }
 
 /// How a receiver answered a call.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     Delivered,
     /// Delivered, if the answer arrived.
     Uncertain,
@@ -185,8 +185,8 @@
 
 /// What was seen, in numbers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counts {
-    pub taken: u64,
+pub struct RunCounts {
+    pub accepted: u64,
     /// Turned away at the door.
     pub refused: u64,
     /// Clients that heard nothing.
@@ -196,13 +196,13 @@
     /// Ended by a notice.
     pub given_up: u64,
     /// Taken on, not over, and still in time.
-    pub open: u64,
+    pub pending: u64,
     pub breaches: u64,
 }
 
 /// The judge. Times are seconds since the run began.
 pub struct Judge {
-    terms: Terms,
+    terms: RuleParameters,
     tracks: HashMap<WebhookId, Track>,
     restarts: HashMap<u16, Restarts>,
     waits: HashMap<(u16, u32), (f64, f64)>,
@@ -216,8 +216,8 @@
 }
 
 impl Judge {
-    pub fn new(terms: Terms) -> Self {
-        let returns = Returns::new(terms.returns);
+    pub fn new(terms: RuleParameters) -> Self {
+        let returns = Returns::new(terms.recovery);
         Judge {
             terms,
             tracks: HashMap::new(),
@@ -233,15 +233,15 @@
         }
     }
 
-    fn breaks(&mut self, rule: Rule, at: f64, id: Option<WebhookId>, text: String) {
+    fn breaks(&mut self, rule: Rule, at_secs: f64, id: Option<WebhookId>, text: String) {
         self.breaches += 1;
         if self.told.iter().filter(|b| b.rule == rule).count() < MOST_TOLD {
-            self.told.push(Breach { rule, at, id, text });
+            self.told.push(Breach { rule, at_secs, id, text });
         }
     }
 
     /// A client begins to hand a webhook in, to be delivered within `ttl`.
-    pub fn handed_in(&mut self, id: WebhookId, at: f64, ttl: f64) {
+    pub fn record_hand_in(&mut self, id: WebhookId, at: f64, ttl: f64) {
         let track = Track {
             deadline: at + ttl,
             heard: Heard::Nothing,
@@ -258,14 +258,14 @@
     }
 
     /// The client heard that it is taken on.
-    pub fn taken(&mut self, id: WebhookId) {
+    pub fn record_accepted(&mut self, id: WebhookId) {
         if let Some(track) = self.tracks.get_mut(&id) {
             track.heard = Heard::Taken;
         }
     }
 
     /// The client heard that it is not taken on.
-    pub fn refused(&mut self, id: WebhookId, at: f64) {
+    pub fn record_refused(&mut self, id: WebhookId, at: f64) {
         let Some(track) = self.tracks.get_mut(&id) else { return };
         track.heard = Heard::Refused;
         if track.calls > 0 {
@@ -274,8 +274,8 @@
     }
 
     /// A call came whole at its receiver.
-    pub fn called(&mut self, id: WebhookId, place: Place, at: f64) {
-        let window = self.terms.repeat_window;
+    pub fn record_call(&mut self, id: WebhookId, place: EndpointLocation, at: f64) {
+        let window = self.terms.repeat_window_secs;
         let unread = |restarts: &HashMap<u16, Restarts>, since: f64| {
             restarts.get(&id.sender).is_some_and(|r| r.down_within(since, since + UNREAD))
         };
@@ -313,8 +313,8 @@
         track.out = Some(at);
         track.zone = place.zone;
         track.calls += 1;
-        if let Some((told, until)) = self.waits.get(&(id.sender, id.dest))
-            && (told + self.terms.wait_grace..*until).contains(&at)
+        if let Some((told, until)) = self.waits.get(&(id.sender, id.destination))
+            && (told + self.terms.retry_after_grace_secs..*until).contains(&at)
         {
             found.push((Rule::Waits, format!("was sent {:.3} s before its wait was over", until - at)));
         }
@@ -322,7 +322,8 @@
         // A new process is told from its first moment on, which is a little before it is ready.
         let starts = restarts.is_some_and(Restarts::is_down);
         let up = if starts { Some(at) } else { restarts.and_then(Restarts::last_up) };
-        if let Some(late) = self.drains.called(id.sender, place.endpoint, up, at, self.terms.drain_grace) {
+        if let Some(late) = self.drains.called(id.sender, place.endpoint, up, at, self.terms.drain_grace_secs)
+        {
             found.push((Rule::Drains, format!("was sent {late:.3} s after the grace of a drain")));
         }
         if id.event_type == EventType::Ordered {
@@ -337,23 +338,23 @@
     }
 
     /// The receiver wrote an answer.
-    pub fn answered(&mut self, id: WebhookId, at: f64, end: CallEnd) {
+    pub fn record_answer(&mut self, id: WebhookId, at: f64, end: CallOutcome) {
         self.orders.over(id);
         let Some(track) = self.tracks.get_mut(&id) else { return };
         let Some(called) = track.out.take() else { return };
         match end {
-            CallEnd::Refused(wait) => {
+            CallOutcome::Refused(wait) => {
                 self.returns.saw(id, at);
                 if wait > 0.0 {
-                    self.waits.insert((id.sender, id.dest), (at, at + wait));
+                    self.waits.insert((id.sender, id.destination), (at, at + wait));
                 }
             }
-            CallEnd::Failed => {
+            CallOutcome::Failed => {
                 track.may_have_run(called);
                 self.returns.saw(id, at);
             }
-            CallEnd::Delivered | CallEnd::Uncertain => {
-                track.crossed |= end == CallEnd::Uncertain;
+            CallOutcome::Delivered | CallOutcome::Uncertain => {
+                track.crossed |= end == CallOutcome::Uncertain;
                 track.may_have_run(called);
                 track.delivered.get_or_insert(at);
             }
@@ -361,7 +362,7 @@
     }
 
     /// The connection of that webhook's last call ended, before or after the call's answer.
-    pub fn connection_ended(&mut self, id: WebhookId, at: f64) {
+    pub fn record_connection_end(&mut self, id: WebhookId, at: f64) {
         self.orders.over(id);
         let Some(track) = self.tracks.get_mut(&id) else { return };
         track.crossed |= track.delivered.is_some_and(|delivered| at < delivered + CROSSING);
@@ -372,7 +373,7 @@
     }
 
     /// The platform was told that a webhook is given up.
-    pub fn noticed(&mut self, id: WebhookId, at: f64) {
+    pub fn record_notice(&mut self, id: WebhookId, at: f64) {
         let Some(track) = self.tracks.get_mut(&id) else {
             return self.breaks(
                 Rule::Lost,
@@ -388,7 +389,8 @@
         track.noticed = Some(at);
         let (deadline, delivered, crossed) = (track.deadline, track.delivered, track.crossed);
         let restarts = self.restarts.entry(id.sender).or_default();
-        let due = restarts.extend(deadline + self.terms.answer_grace, self.terms.restart_grace);
+        let due =
+            restarts.extend(deadline + self.terms.final_answer_grace_secs, self.terms.restart_grace_secs);
         let crossed = crossed || delivered.is_some_and(|d| restarts.down_within(d, d + UNREAD));
         let in_time = delivered.is_some_and(|d| d < deadline - EDGE);
         let read = delivered.is_some_and(|d| d < deadline - READ_BY);
@@ -405,22 +407,22 @@
     }
 
     /// A version of the list names an endpoint that drains from then on.
-    pub fn drain_listed(&mut self, endpoint: u32, version: u64) {
+    pub fn record_drain_listed(&mut self, endpoint: u32, version: u64) {
         self.drains.listed(endpoint, version);
     }
 
     /// The endpoint does not drain any more.
-    pub fn drain_ended(&mut self, endpoint: u32) {
+    pub fn record_drain_end(&mut self, endpoint: u32) {
         self.drains.ended(endpoint);
     }
 
     /// A sender was written a version of the list.
-    pub fn list_told(&mut self, sender: u16, version: u64, at: f64) {
+    pub fn record_list_sent(&mut self, sender: u16, version: u64, at: f64) {
         self.drains.told(sender, version, at);
     }
 
     /// A client's request came whole over a new connection, which ended at `ended` without an answer.
-    pub fn unanswered(&mut self, id: WebhookId, sent: f64, ended: f64) {
+    pub fn record_unanswered(&mut self, id: WebhookId, sent: f64, ended: f64) {
         self.unanswered.push(Unanswered { id, sent, ended });
     }
 
@@ -440,29 +442,29 @@
     }
 
     /// Idle clients fill a sender's descriptors: meanwhile it may end new connections unread.
-    pub fn crowded(&mut self, sender: u16, from: f64, to: f64) {
+    pub fn record_connection_flood(&mut self, sender: u16, from: f64, to: f64) {
         self.crowds.push((sender, from, to));
     }
 
     /// A client stopped in the middle of a request and got no error and no end until now.
-    pub fn left_waiting(&mut self, sender: u16, since: f64, now: f64) {
+    pub fn record_stalled_client(&mut self, sender: u16, since: f64, now: f64) {
         let ended = self.restarts.get(&sender).is_some_and(|r| r.down_within(since, now));
         let waited = now - since;
-        if !ended && waited > self.terms.client_patience {
+        if !ended && waited > self.terms.stalled_client_limit_secs {
             let text = format!("a client of sender {sender} that stopped got nothing in {waited:.1} s");
             self.breaks(Rule::Clients, now, None, text);
         }
     }
 
     /// A sender was told to end, or killed.
-    pub fn sender_down(&mut self, sender: u16, at: f64) {
+    pub fn record_sender_stop(&mut self, sender: u16, at: f64) {
         self.restarts.entry(sender).or_default().spans.push((at, None));
         // A restart ends the waits.
         self.waits.retain(|(told, _), _| *told != sender);
     }
 
     /// Its process has ended, at once or some time after it was told to.
-    pub fn sender_ended(&mut self, sender: u16, at: f64) {
+    pub fn record_sender_exit(&mut self, sender: u16, at: f64) {
         self.restarts.entry(sender).or_default().ends.push(at);
         // A restart ends the waits, those that were told after it was told to end among them.
         self.waits.retain(|(told, _), _| *told != sender);
@@ -471,39 +473,39 @@
     }
 
     /// It is ready again.
-    pub fn sender_up(&mut self, sender: u16, at: f64) {
+    pub fn record_sender_ready(&mut self, sender: u16, at: f64) {
         if let Some((_, up)) = self.restarts.entry(sender).or_default().spans.last_mut() {
             *up = Some(at);
         }
     }
 
     /// A destination's outage begins, which takes `rate` calls a second when it is well.
-    pub fn outage_began(&mut self, dest: u32, at: f64, rate: f64) {
+    pub fn record_outage_start(&mut self, dest: u32, at: f64, rate: f64) {
         self.returns.began(dest, at, rate);
     }
 
     /// The destination is back, and cold.
-    pub fn outage_ended(&mut self, dest: u32, at: f64) {
+    pub fn record_outage_end(&mut self, dest: u32, at: f64) {
         self.returns.ended(dest, at);
     }
 
     /// Webhooks that were taken on and are not over.
-    pub fn open(&self) -> u64 {
+    pub fn pending_count(&self) -> u64 {
         let open = |t: &&Track| t.heard == Heard::Taken && t.delivered.is_none() && t.noticed.is_none();
         self.tracks.values().filter(open).count() as u64
     }
 
     /// What was seen up to `now`. Whoever has no final answer by now and should have is lost.
-    pub fn finish(&mut self, now: f64) -> (Counts, Vec<Breach>) {
+    pub fn finish(&mut self, now: f64) -> (RunCounts, Vec<Breach>) {
         self.judge_unanswered();
-        let mut counts = Counts::default();
+        let mut counts = RunCounts::default();
         let mut lost = Vec::new();
         for (id, track) in &self.tracks {
             counts.calls += u64::from(track.calls);
             match track.heard {
                 Heard::Nothing => counts.unanswered += 1,
                 Heard::Refused => counts.refused += 1,
-                Heard::Taken => counts.taken += 1,
+                Heard::Taken => counts.accepted += 1,
             }
             let delivered = track.delivered.is_some_and(|d| d < track.deadline + EDGE);
             counts.delivered += u64::from(delivered);
@@ -511,10 +513,10 @@
             if track.heard != Heard::Taken || delivered || track.noticed.is_some() {
                 continue;
             }
-            let due = track.deadline + self.terms.answer_grace;
+            let due = track.deadline + self.terms.final_answer_grace_secs;
             let restarts = self.restarts.get(&id.sender);
-            let due = restarts.map_or(due, |r| r.extend(due, self.terms.restart_grace));
-            if now > due { lost.push(*id) } else { counts.open += 1 }
+            let due = restarts.map_or(due, |r| r.extend(due, self.terms.restart_grace_secs));
+            if now > due { lost.push(*id) } else { counts.pending += 1 }
         }
         lost.sort_unstable();
         for id in lost {
--- a/crates/scale/src/standins/judge/order.rs
+++ b/crates/scale/src/standins/judge/order.rs
@@ -21,7 +21,7 @@
 impl Orders {
     /// A call came; what is wrong with it.
     pub fn called(&mut self, id: WebhookId, at: f64) -> Option<String> {
-        let key = self.0.entry((id.sender, id.dest)).or_default();
+        let key = self.0.entry((id.sender, id.destination)).or_default();
         let beside = key.out.replace(id.number).filter(|other| *other != id.number);
         let behind = key.highest.filter(|(number, _)| *number > id.number);
         if key.highest.is_none_or(|(number, _)| number < id.number) {
@@ -35,14 +35,14 @@
 
     /// The call that was out is answered, or its connection has ended.
     pub fn over(&mut self, id: WebhookId) {
-        if let Some(key) = self.0.get_mut(&(id.sender, id.dest)) {
+        if let Some(key) = self.0.get_mut(&(id.sender, id.destination)) {
             key.out = key.out.filter(|number| *number != id.number);
         }
     }
 
     /// It is given up; what is wrong with that: a later one went out long before.
     pub fn given_up(&mut self, id: WebhookId, at: f64) -> Option<String> {
-        let (number, called) = self.0.get(&(id.sender, id.dest))?.highest?;
+        let (number, called) = self.0.get(&(id.sender, id.destination))?.highest?;
         let passed = number > id.number && called + NOTICE_ON_ITS_WAY < at;
         passed.then(|| format!("was not over when {number:08x} of its key was sent"))
     }
--- a/crates/scale/src/standins/judge/returns.rs
+++ b/crates/scale/src/standins/judge/returns.rs
@@ -9,29 +9,34 @@
 
 /// What a cold destination takes.
 #[derive(Debug, Clone, Copy)]
-pub struct ReturnTerms {
+pub struct RecoveryParameters {
     /// The part of its rate that it takes right after its return.
-    pub cold_from: f64,
+    pub cold_rate_fraction: f64,
     /// Seconds until it takes all of it.
-    pub cold: f64,
+    pub warm_up_secs: f64,
     /// It falls over at so many times what it can take,
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// sent within so many seconds.
-    pub span: f64,
+    pub overload_window_secs: f64,
 }
 
-impl Default for ReturnTerms {
+impl Default for RecoveryParameters {
     fn default() -> Self {
-        ReturnTerms { cold_from: 0.28, cold: 14.0, fall_multiple: 1.5, span: 1.5 }
+        RecoveryParameters {
+            cold_rate_fraction: 0.28,
+            warm_up_secs: 14.0,
+            overload_multiple: 1.5,
+            overload_window_secs: 1.5,
+        }
     }
 }
 
-impl ReturnTerms {
-    /// Calls that it takes in the span that ends `since` seconds after its return, at `rate` a second when warm.
+impl RecoveryParameters {
+    /// Calls that it takes in the window that ends `since` seconds after its return, at `rate` a second when warm.
     fn allowed(&self, since: f64, rate: f64) -> f64 {
-        let middle = (since - self.span / 2.0).clamp(0.0, self.cold);
-        let part = self.cold_from + (1.0 - self.cold_from) * middle / self.cold;
-        self.fall_multiple * rate * part * self.span
+        let middle = (since - self.overload_window_secs / 2.0).clamp(0.0, self.warm_up_secs);
+        let part = self.cold_rate_fraction + (1.0 - self.cold_rate_fraction) * middle / self.warm_up_secs;
+        self.overload_multiple * rate * part * self.overload_window_secs
     }
 
     /// More calls than that push it over: chance alone brings some more than the mean.
@@ -54,12 +59,12 @@
 
 /// All outages, the last of each destination.
 pub struct Returns {
-    terms: ReturnTerms,
+    terms: RecoveryParameters,
     outages: HashMap<u32, Outage>,
 }
 
 impl Returns {
-    pub fn new(terms: ReturnTerms) -> Self {
+    pub fn new(terms: RecoveryParameters) -> Self {
         Returns { terms, outages: HashMap::new() }
     }
 
@@ -76,7 +81,7 @@
 
     /// A sender saw a call fail there, or be refused.
     pub fn saw(&mut self, id: WebhookId, at: f64) {
-        let Some(outage) = self.outages.get_mut(&id.dest) else { return };
+        let Some(outage) = self.outages.get_mut(&id.destination) else { return };
         if at >= outage.began && outage.back.is_none_or(|back| at <= back) {
             outage.saw.insert(id.sender);
         }
@@ -91,20 +96,21 @@
 
     /// A call came. At the first one that pushes the destination over, where the rule is broken, how.
     pub fn called(&mut self, id: WebhookId, at: f64) -> Option<String> {
-        let outage = self.outages.get_mut(&id.dest)?;
+        let outage = self.outages.get_mut(&id.destination)?;
         let since = at - outage.back?;
-        if since > self.terms.cold || outage.fell {
+        if since > self.terms.warm_up_secs || outage.fell {
             return None;
         }
         outage.calls.push_back((at, id.sender));
-        while outage.calls.front().is_some_and(|(earlier, _)| earlier + self.terms.span < at) {
+        while outage.calls.front().is_some_and(|(earlier, _)| earlier + self.terms.overload_window_secs < at)
+        {
             outage.calls.pop_front();
         }
         let (count, most) = (outage.calls.len(), self.terms.most(since, outage.rate));
         outage.fell = count as f64 > most;
         let saw = outage.calls.iter().filter(|(_, sender)| outage.saw.contains(sender)).count();
         (outage.fell && 3 * saw >= 2 * count).then(|| {
-            let dest = id.dest;
+            let dest = id.destination;
             format!(
                 "destination {dest} was sent {count} calls {since:.1} s after its return, {most:.1} at most; \
                  {saw} by senders that saw its outage"
--- a/crates/scale/src/standins/list_service.rs
+++ b/crates/scale/src/standins/list_service.rs
@@ -1,8 +1,8 @@
 //! The platform: its list of endpoints with watches, and the notices that it takes.
 
 use super::message::{Request, answer};
-use super::receivers::Record;
-use super::server::{Connection, Replies, Service};
+use super::receivers::SharedJudge;
+use super::server::{Connection, ServerActions, Service};
 use serde::Serialize;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,26 +23,27 @@
     /// The rate that is listed, in calls a second.
     #[serde(rename = "share")]
     pub rate: f64,
-    pub born_ms: f64,
+    #[serde(rename = "born_ms")]
+    pub started_at_ms: f64,
 }
 
 impl Endpoint {
     /// The only endpoint of a destination.
-    pub fn of(dest: u32, dial: SocketAddr, rate: f64) -> Self {
+    pub fn new(dest: u32, dial: SocketAddr, rate: f64) -> Self {
         let (host, zone, kind) = (format!("s-{dest:08x}"), "z".to_owned(), "plain".to_owned());
-        Endpoint { host, dial, zone, kind, dest, health: "SERVING", rate, born_ms: 0.0 }
+        Endpoint { host, dial, zone, kind, dest, health: "SERVING", rate, started_at_ms: 0.0 }
     }
 }
 
 /// A list, or what changed in it, as it is written.
 #[derive(Serialize)]
-pub struct News<'a> {
+pub struct ListUpdate<'a> {
     pub seq: u64,
     pub whole: bool,
     pub hosts: Vec<&'a Endpoint>,
 }
 
-impl News<'_> {
+impl ListUpdate<'_> {
     /// The bytes of the body.
     pub fn encode(&self) -> String {
         // Plain structures do not fail to be written.
@@ -52,7 +53,7 @@
 
 /// What one sender's calls cost, and when it had each change.
 #[derive(Debug, Clone, Default)]
-pub struct Traffic {
+pub struct SenderTraffic {
     pub list_calls: u64,
     pub list_bytes: u64,
     pub notice_calls: u64,
@@ -68,7 +69,7 @@
 
 /// The list service. Each sender reaches it at an address of its own, by which it is known.
 pub struct ListService {
-    record: Record,
+    record: SharedJudge,
     senders: HashMap<SocketAddr, u16>,
     list: Vec<Endpoint>,
     seq: u64,
@@ -78,7 +79,7 @@
     changes: Vec<(u64, Endpoint)>,
     changed_at: HashMap<u64, Instant>,
     watches: HashMap<Connection, Watch>,
-    traffic: HashMap<u16, Traffic>,
+    traffic: HashMap<u16, SenderTraffic>,
     /// It takes no part in anything but notices: calls for the list get no answer.
     silent: bool,
     /// Seconds from a change until a sender asked for what came after it.
@@ -87,7 +88,7 @@
 
 impl ListService {
     /// The first version is 1.
-    pub fn new(record: Record, senders: HashMap<SocketAddr, u16>, list: Vec<Endpoint>) -> Self {
+    pub fn new(record: SharedJudge, senders: HashMap<SocketAddr, u16>, list: Vec<Endpoint>) -> Self {
         ListService {
             record,
             senders,
@@ -112,7 +113,7 @@
     }
 
     /// Lists lines anew, all in one version, and tells all who watch.
-    pub fn change(&mut self, lines: Vec<Endpoint>, replies: &mut Replies) {
+    pub fn update_endpoints(&mut self, lines: Vec<Endpoint>, actions: &mut ServerActions) {
         self.seq += 1;
         self.changed_at.insert(self.seq, Instant::now());
         for line in lines {
@@ -125,13 +126,13 @@
         let watches: Vec<(Connection, Watch)> = self.watches.drain().collect();
         for (connection, watch) in watches {
             let bytes = self.changes_since(watch.since);
-            self.write(watch.sender, connection, bytes, replies);
+            self.write(watch.sender, connection, bytes, actions);
         }
     }
 
     /// Answers all who watch with the whole list, in a version of its own. Changes up to it are known no more, as after a
     /// restart of the platform.
-    pub fn tell_whole(&mut self, replies: &mut Replies) {
+    pub fn send_full_list(&mut self, actions: &mut ServerActions) {
         self.seq += 1;
         self.history_from = self.seq;
         self.changes.clear();
@@ -139,12 +140,12 @@
         let watches: Vec<(Connection, Watch)> = self.watches.drain().collect();
         for (connection, watch) in watches {
             let bytes = self.whole();
-            self.write(watch.sender, connection, bytes, replies);
+            self.write(watch.sender, connection, bytes, actions);
         }
     }
 
     /// Bytes of an answer with the whole list.
-    pub fn whole_size(&self) -> usize {
+    pub fn full_list_bytes(&self) -> usize {
         self.whole().len()
     }
 
@@ -154,23 +155,23 @@
     }
 
     /// Senders that have taken the present version in.
-    pub fn up_to_date(&self) -> usize {
+    pub fn up_to_date_senders(&self) -> usize {
         self.traffic.values().filter(|t| t.version == self.seq).count()
     }
 
     /// Watches that stand now.
-    pub fn watching(&self) -> usize {
+    pub fn watch_count(&self) -> usize {
         self.watches.len()
     }
 
     /// Seconds until each change was taken in, by each sender, so far.
-    pub fn take_delays(&mut self) -> Vec<f64> {
+    pub fn take_propagation_delays(&mut self) -> Vec<f64> {
         std::mem::take(&mut self.taken_in)
     }
 
     /// What all senders together asked and were told.
-    pub fn total(&self) -> Traffic {
-        self.traffic.values().fold(Traffic::default(), |sum, one| Traffic {
+    pub fn total_traffic(&self) -> SenderTraffic {
+        self.traffic.values().fold(SenderTraffic::default(), |sum, one| SenderTraffic {
             list_calls: sum.list_calls + one.list_calls,
             list_bytes: sum.list_bytes + one.list_bytes,
             notice_calls: sum.notice_calls + one.notice_calls,
@@ -178,11 +179,11 @@
         })
     }
 
-    fn write(&mut self, sender: u16, to: Connection, bytes: Vec<u8>, replies: &mut Replies) {
+    fn write(&mut self, sender: u16, to: Connection, bytes: Vec<u8>, actions: &mut ServerActions) {
         self.traffic.entry(sender).or_default().list_bytes += bytes.len() as u64;
         let version = self.seq;
-        self.record.tell(|judge, now| judge.list_told(sender, version, now));
-        replies.send(to, bytes);
+        self.record.with(|judge, now| judge.record_list_sent(sender, version, now));
+        actions.send(to, bytes);
     }
 
     fn changes_since(&self, since: u64) -> Vec<u8> {
@@ -196,11 +197,15 @@
                 hosts.push(line);
             }
         }
-        answer(200, "", &News { seq: self.seq, whole: false, hosts }.encode())
+        answer(200, "", &ListUpdate { seq: self.seq, whole: false, hosts }.encode())
     }
 
     fn whole(&self) -> Vec<u8> {
-        answer(200, "", &News { seq: self.seq, whole: true, hosts: self.list.iter().collect() }.encode())
+        answer(
+            200,
+            "",
+            &ListUpdate { seq: self.seq, whole: true, hosts: self.list.iter().collect() }.encode(),
+        )
     }
 
     /// A sender asks for what came after a version: it has taken in all up to it.
@@ -229,7 +234,7 @@
         let Some(id) = line["id"].as_str().filter(|_| state).and_then(|id| id.parse().ok()) else {
             return false;
         };
-        self.record.tell(|judge, now| judge.noticed(id, now));
+        self.record.with(|judge, now| judge.record_notice(id, now));
         true
     }
 }
@@ -242,12 +247,12 @@
 }
 
 impl Service for ListService {
-    fn request(&mut self, from: Connection, at: SocketAddr, request: Request, replies: &mut Replies) {
+    fn request(&mut self, from: Connection, at: SocketAddr, request: Request, actions: &mut ServerActions) {
         let sender = self.senders.get(&at).copied().unwrap_or_default();
         if request.method == "POST" && request.target == "/v1/outcomes" {
             self.traffic.entry(sender).or_default().notice_calls += 1;
             let status = if self.notice(&request.body) { 204 } else { 400 };
-            return replies.send(from, answer(status, "", ""));
+            return actions.send(from, answer(status, "", ""));
         }
         if self.silent {
             return;
@@ -256,16 +261,16 @@
         traffic.list_calls += 1;
         let Some(since) = query(&request.target, "since") else {
             let bytes = self.whole();
-            return self.write(sender, from, bytes, replies);
+            return self.write(sender, from, bytes, actions);
         };
         self.has(sender, since);
         if since < self.seq {
             let bytes = self.changes_since(since);
-            return self.write(sender, from, bytes, replies);
+            return self.write(sender, from, bytes, actions);
         }
         let until = Instant::now() + Duration::from_millis(query(&request.target, "timeout_ms").unwrap_or(0));
         self.watches.insert(from, Watch { sender, since, until });
-        replies.wake_at(until);
+        actions.wake_at(until);
     }
 
     fn closed(&mut self, connection: Connection) {
@@ -273,11 +278,11 @@
     }
 
     /// Watches whose time is over are answered with nothing new.
-    fn woken(&mut self, replies: &mut Replies) {
+    fn woken(&mut self, actions: &mut ServerActions) {
         let now = Instant::now();
         for (connection, watch) in self.watches.extract_if(|_, w| w.until <= now).collect::<Vec<_>>() {
             let bytes = self.changes_since(watch.since);
-            self.write(watch.sender, connection, bytes, replies);
+            self.write(watch.sender, connection, bytes, actions);
         }
     }
 }
--- a/crates/scale/src/standins/server.rs
+++ b/crates/scale/src/standins/server.rs
@@ -25,18 +25,18 @@
 /// What a service does with requests. It runs in the server's thread and must not wait.
 pub trait Service: Send + 'static {
     /// A request has come whole, over a connection to the address `at`.
-    fn request(&mut self, from: Connection, at: SocketAddr, request: Request, replies: &mut Replies);
+    fn request(&mut self, from: Connection, at: SocketAddr, request: Request, actions: &mut ServerActions);
     /// A connection has ended, by either side.
     fn closed(&mut self, _connection: Connection) {}
-    /// The time that an earlier `replies.wake_at` named has come.
-    fn woken(&mut self, _replies: &mut Replies) {}
+    /// The time that an earlier `actions.wake_at` named has come.
+    fn woken(&mut self, _replies: &mut ServerActions) {}
     /// An answer that was due later goes out now.
     fn answered(&mut self, _to: Connection) {}
 }
 
 /// What a service asks its server to do.
 #[derive(Default)]
-pub struct Replies {
+pub struct ServerActions {
     now: Vec<(Connection, Vec<u8>)>,
     later: Vec<(Instant, Connection, Vec<u8>)>,
     wakes: Vec<Instant>,
@@ -45,7 +45,7 @@
     shuts: Vec<SocketAddr>,
 }
 
-impl Replies {
+impl ServerActions {
     /// Writes bytes at once.
     pub fn send(&mut self, to: Connection, bytes: Vec<u8>) {
         self.now.push((to, bytes));
@@ -67,17 +67,17 @@
     }
 
     /// Listens at an address again.
-    pub fn open(&mut self, at: SocketAddr) {
+    pub fn open_listener(&mut self, at: SocketAddr) {
         self.opens.push(at);
     }
 
     /// Ends the listener at an address with all its connections: from now on connecting there is refused.
-    pub fn shut(&mut self, at: SocketAddr) {
+    pub fn close_listener(&mut self, at: SocketAddr) {
         self.shuts.push(at);
     }
 }
 
-type Task<S> = Box<dyn FnOnce(&mut S, &mut Replies) + Send>;
+type Task<S> = Box<dyn FnOnce(&mut S, &mut ServerActions) + Send>;
 
 enum Command<S> {
     Run(Task<S>),
@@ -117,13 +117,13 @@
     }
 
     /// Runs a task on the service in the server's thread and waits for what it returns.
-    pub fn with<T: Send + 'static>(
-        &self, task: impl FnOnce(&mut S, &mut Replies) -> T + Send + 'static,
+    pub fn with_service<T: Send + 'static>(
+        &self, task: impl FnOnce(&mut S, &mut ServerActions) -> T + Send + 'static,
     ) -> Option<T> {
         let (tell, told) = channel();
-        let task: Task<S> = Box::new(move |service, replies| {
+        let task: Task<S> = Box::new(move |service, actions| {
             // Nobody waits any more where the caller has gone.
-            let _ = tell.send(task(service, replies));
+            let _ = tell.send(task(service, actions));
         });
         self.commands.send(Command::Run(task)).ok()?;
         self.waker.wake().ok()?;
@@ -183,15 +183,15 @@
             for event in &events {
                 self.event(event, &mut scratch);
             }
-            let mut replies = Replies::default();
+            let mut actions = ServerActions::default();
             while let Ok(command) = self.commands.try_recv() {
                 match command {
-                    Command::Run(task) => task(&mut self.service, &mut replies),
+                    Command::Run(task) => task(&mut self.service, &mut actions),
                     Command::End => return,
                 }
             }
-            self.timers_due(&mut replies);
-            self.apply(replies);
+            self.timers_due(&mut actions);
+            self.apply(actions);
         }
     }
 
@@ -271,9 +271,9 @@
             let at = link.at;
             match Request::take(&mut link.read) {
                 Ok(Some(request)) => {
-                    let mut replies = Replies::default();
-                    self.service.request(Connection(number), at, request, &mut replies);
-                    self.apply(replies);
+                    let mut actions = ServerActions::default();
+                    self.service.request(Connection(number), at, request, &mut actions);
+                    self.apply(actions);
                 }
                 Ok(None) => return true,
                 Err(_) => {
@@ -286,34 +286,34 @@
         true
     }
 
-    fn apply(&mut self, replies: Replies) {
-        for (Connection(number), bytes) in replies.now {
+    fn apply(&mut self, actions: ServerActions) {
+        for (Connection(number), bytes) in actions.now {
             if let Some(link) = self.links.get_mut(&number) {
                 link.write.extend(bytes);
                 self.flush(number);
             }
         }
-        let sends = replies.later.into_iter().map(|(at, to, bytes)| (at, Timer::Send(to, bytes)));
-        let wakes = replies.wakes.into_iter().map(|at| (at, Timer::Wake));
+        let sends = actions.later.into_iter().map(|(at, to, bytes)| (at, Timer::Send(to, bytes)));
+        let wakes = actions.wakes.into_iter().map(|at| (at, Timer::Wake));
         for (at, timer) in sends.chain(wakes) {
             self.timers.push(Reverse((at, self.next_timer)));
             self.due.insert(self.next_timer, timer);
             self.next_timer += 1;
         }
-        for Connection(number) in replies.ends {
+        for Connection(number) in actions.ends {
             self.close(number);
         }
-        for at in replies.shuts {
+        for at in actions.shuts {
             self.shut(at);
         }
-        for at in replies.opens {
+        for at in actions.opens {
             if let Err(e) = self.listen(at) {
                 tracing::error!(%at, %e, "a stand-in cannot listen again");
             }
         }
     }
 
-    fn timers_due(&mut self, replies: &mut Replies) {
+    fn timers_due(&mut self, actions: &mut ServerActions) {
         let now = Instant::now();
         while let Some(Reverse((at, timer))) = self.timers.peek().copied()
             && at <= now
@@ -322,9 +322,9 @@
             match self.due.remove(&timer) {
                 Some(Timer::Send(to, bytes)) if self.links.contains_key(&to.0) => {
                     self.service.answered(to);
-                    replies.send(to, bytes);
+                    actions.send(to, bytes);
                 }
-                Some(Timer::Wake) => self.service.woken(replies),
+                Some(Timer::Wake) => self.service.woken(actions),
                 _ => {}
             }
         }
--- a/crates/scale/src/verbs/changes.rs
+++ b/crates/scale/src/verbs/changes.rs
@@ -70,7 +70,7 @@
     };
     let (fleet, _) = Fleet::start(&plan, &guard)?;
     let senders = fleet.listen.len();
-    if !fleet.wait(WATCHING, |fleet| Ok(fleet.list(|list, _| list.watching())? == senders))? {
+    if !fleet.wait(WATCHING, |fleet| Ok(fleet.list(|list, _| list.watch_count())? == senders))? {
         return Err(Error::Failed("not every sender watches the list".into()));
     }
     let idle = cost(&fleet)?;
@@ -103,7 +103,7 @@
     let round = number as usize / count;
     let health = if round.is_multiple_of(2) { "DRAINING" } else { "SERVING" };
     let line = Endpoint { health, ..line.clone() };
-    fleet.list(move |list, replies| list.change(vec![line], replies))
+    fleet.list(move |list, actions| list.update_endpoints(vec![line], actions))
 }
 
 /// Waits until the last change is in force everywhere, and tells how long each took.
@@ -112,8 +112,9 @@
         return Ok(());
     }
     let senders = fleet.listen.len();
-    let all = fleet.wait(2 * LIMIT, |fleet| Ok(fleet.list(|list, _| list.up_to_date())? == senders))?;
-    let mut delays = fleet.list(|list, _| list.take_delays())?;
+    let all =
+        fleet.wait(2 * LIMIT, |fleet| Ok(fleet.list(|list, _| list.up_to_date_senders())? == senders))?;
+    let mut delays = fleet.list(|list, _| list.take_propagation_delays())?;
     let count = delays.len();
     tell_cost(what, fleet, before, changes)?;
     let Some([p50, p99, worst]) = quantiles(&mut delays) else {
@@ -135,7 +136,7 @@
 }
 
 fn cost(fleet: &Fleet) -> Result<Cost, Error> {
-    let total = fleet.list(|list, _| list.total())?;
+    let total = fleet.list(|list, _| list.total_traffic())?;
     let real: f64 = fleet.senders.iter().map(|sender| sender.processor_time()).sum();
     let hollow: f64 = fleet.hollow.iter().map(|group| group.processor_time()).sum();
     let processor = real + hollow;
--- a/crates/scale/src/verbs/load.rs
+++ b/crates/scale/src/verbs/load.rs
@@ -2,9 +2,9 @@
 
 use crate::error::Error;
 use crate::interrupt::Stop;
-use crate::standins::clients::{Answers, Client, Heard};
+use crate::standins::clients::{AnswerStats, Client, HandInResult};
 use crate::standins::id::{EventType, WebhookId};
-use crate::standins::receivers::Record;
+use crate::standins::receivers::SharedJudge;
 use std::net::SocketAddr;
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
@@ -34,13 +34,13 @@
 
 /// Clients at work, each in a thread of its own.
 pub struct Load {
-    clients: Vec<JoinHandle<Answers>>,
+    clients: Vec<JoinHandle<AnswerStats>>,
     stop: Stop,
 }
 
 impl Load {
     /// Starts clients. They end by themselves, at `finish`, or at the run's stop.
-    pub fn start(tasks: Vec<Task>, record: &Record, run: &Stop) -> Result<Load, Error> {
+    pub fn start(tasks: Vec<Task>, record: &SharedJudge, run: &Stop) -> Result<Load, Error> {
         let stop = Stop::default();
         let mut clients = Vec::new();
         for task in tasks {
@@ -53,38 +53,38 @@
     }
 
     /// Waits until all have done their count.
-    pub fn join(self) -> Result<Answers, Error> {
-        let mut all = Answers::default();
+    pub fn join(self) -> Result<AnswerStats, Error> {
+        let mut all = AnswerStats::default();
         for client in self.clients {
             let answers = client.join().map_err(|_| Error::Failed("a client failed".into()))?;
-            all.add(&answers);
+            all.merge(&answers);
         }
         Ok(all)
     }
 
     /// Ends all and returns what they heard.
-    pub fn finish(self) -> Result<Answers, Error> {
+    pub fn finish(self) -> Result<AnswerStats, Error> {
         self.stop.set();
         self.join()
     }
 }
 
-fn work(task: &Task, mut client: Client, stops: &[Stop; 2]) -> Answers {
+fn work(task: &Task, mut client: Client, stops: &[Stop; 2]) -> AnswerStats {
     let began = Instant::now();
     let mut number = task.first;
     let mut turn = 0;
-    while client.answers.taken < task.count && !stops.iter().any(Stop::is_set) {
+    while client.answers.accepted < task.count && !stops.iter().any(Stop::is_set) {
         if task.rate.is_finite() {
             let due = began + Duration::from_secs_f64(turn as f64 / task.rate);
             stops[0].sleep_until(due);
         }
-        let dest = task.destinations[turn % task.destinations.len()];
+        let destination = task.destinations[turn % task.destinations.len()];
         // Each destination gets all event types.
         let event_type = task.event_types[(turn / task.destinations.len()) % task.event_types.len()];
-        let id = WebhookId { sender: task.sender, dest, number, event_type };
+        let id = WebhookId { sender: task.sender, destination, number, event_type };
         number += 1;
         turn += 1;
-        if client.hand_in(id, task.ttl) != Heard::Taken {
+        if client.hand_in(id, task.ttl) != HandInResult::Accepted {
             stops[0].sleep(PAUSE);
         }
     }
--- a/crates/scale/src/verbs/report.rs
+++ b/crates/scale/src/verbs/report.rs
@@ -2,8 +2,8 @@
 
 use crate::error::Error;
 use crate::fleet::judged;
-use crate::standins::clients::Answers;
-use crate::standins::judge::{Breach, Counts};
+use crate::standins::clients::AnswerStats;
+use crate::standins::judge::{Breach, RunCounts};
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 
 /// A bar on standard error over so many steps; nothing where that is no terminal.
@@ -25,23 +25,23 @@
 }
 
 /// Prints what clients heard and what the judge counted; an error where a rule is broken.
-pub fn verdict(answers: &Answers, judge: &(Counts, Vec<Breach>)) -> Result<(), Error> {
+pub fn verdict(answers: &AnswerStats, judge: &(RunCounts, Vec<Breach>)) -> Result<(), Error> {
     let counts = judge.0;
     println!(
         "webhooks: {} taken on, {} refused, {} unanswered; {} calls; {} delivered, {} given up, {} open",
-        counts.taken,
+        counts.accepted,
         counts.refused,
         counts.unanswered,
         counts.calls,
         counts.delivered,
         counts.given_up,
-        counts.open
+        counts.pending
     );
     println!(
         "answers to clients: p50 {:.1} ms, p99 {:.1} ms, worst {:.1} ms",
-        answers.millis(0.5),
-        answers.millis(0.99),
-        answers.millis(1.0)
+        answers.latency_millis(0.5),
+        answers.latency_millis(0.99),
+        answers.latency_millis(1.0)
     );
     judged(judge)?;
     println!("rules: none broken");
--- a/crates/scale/src/verbs/restarts.rs
+++ b/crates/scale/src/verbs/restarts.rs
@@ -74,7 +74,7 @@
     let refusing: Vec<u32> = refuses.collect();
     let set = refusing.clone();
     fleet.receivers(move |receivers, _| {
-        set.iter().for_each(|dest| receivers.set(*dest, Some(Behaviour::Refuse)));
+        set.iter().for_each(|dest| receivers.set_destination_behaviour(*dest, Some(Behaviour::Refuse)));
     })?;
     let tasks = fleet
         .listen
@@ -86,7 +86,9 @@
     fleet.wait(ttl / 2, |fleet| Ok(fleet.open() >= wanted))?;
     println!("backlog at the first restart: {} webhooks", fleet.open());
     let played = play(&mut fleet, options);
-    fleet.receivers(move |receivers, _| refusing.iter().for_each(|dest| receivers.set(*dest, None)))?;
+    fleet.receivers(move |receivers, _| {
+        refusing.iter().for_each(|dest| receivers.set_destination_behaviour(*dest, None))
+    })?;
     let answers = load.finish()?;
     let (mut ready, mut ended) = played?;
     fleet.wait(ttl + MARGIN, |fleet| Ok(fleet.open() == 0))?;
@@ -114,15 +116,15 @@
         } else {
             Signal::SIGTERM
         };
-        fleet.record.tell(|judge, now| judge.sender_down(me, now));
+        fleet.record.with(|judge, now| judge.record_sender_stop(me, now));
         let sender = &mut fleet.senders[usize::from(me)];
         let took = end(sender, signal)?;
-        fleet.record.tell(|judge, now| Judge::sender_ended(judge, me, now));
+        fleet.record.with(|judge, now| Judge::record_sender_exit(judge, me, now));
         if signal == Signal::SIGTERM {
             ended.push(took.as_secs_f64());
         }
         ready.push(sender.start()?.as_secs_f64());
-        fleet.record.tell(|judge, now| judge.sender_up(me, now));
+        fleet.record.with(|judge, now| judge.record_sender_ready(me, now));
         bar.inc(1);
     }
     bar.finish_and_clear();
--- a/crates/scale/src/verbs/slope/destinations.rs
+++ b/crates/scale/src/verbs/slope/destinations.rs
@@ -36,7 +36,7 @@
     guard.stop().sleep(SETTLE);
     let sender = &fleet.senders[0];
     let (memory, time) = (sender.memory(), sender.processor_time());
-    let list = fleet.list(|list, _| list.whole_size())?;
+    let list = fleet.list(|list, _| list.full_list_bytes())?;
     let mut all = vec![
         (RESIDENT, memory.resident as f64),
         (PEAK, memory.peak as f64),
@@ -58,12 +58,12 @@
 
 /// Tells the sender the whole list. How long it took to take it in; nothing where it did not.
 fn take_whole(fleet: &Fleet) -> Result<Option<Duration>, Error> {
-    let watching = fleet.wait(WHOLE, |fleet| Ok(fleet.list(|list, _| list.watching())? == 1))?;
+    let watching = fleet.wait(WHOLE, |fleet| Ok(fleet.list(|list, _| list.watch_count())? == 1))?;
     if !watching {
         return Err(Error::Failed("the sender does not watch the list".into()));
     }
     let began = Instant::now();
-    fleet.list(|list, replies| list.tell_whole(replies))?;
-    let taken = fleet.wait(WHOLE, |fleet| Ok(fleet.list(|list, _| list.up_to_date())? == 1))?;
+    fleet.list(|list, actions| list.send_full_list(actions))?;
+    let taken = fleet.wait(WHOLE, |fleet| Ok(fleet.list(|list, _| list.up_to_date_senders())? == 1))?;
     Ok(taken.then(|| began.elapsed()))
 }
--- a/crates/scale/src/verbs/slope/held.rs
+++ b/crates/scale/src/verbs/slope/held.rs
@@ -4,7 +4,7 @@
 use super::{Measured, Quantity, SharedGuard};
 use crate::error::Error;
 use crate::fleet::{Fleet, Plan, judged};
-use crate::standins::clients::Answers;
+use crate::standins::clients::AnswerStats;
 use crate::standins::id::EventType;
 use crate::standins::receivers::Behaviour;
 use crate::verbs::load::{Load, Task};
@@ -95,7 +95,7 @@
     let passing = pass_by(&fleet)?;
     let (delivery, answers) = deliver(&fleet, count)?;
     judged(&fleet.verdict())?;
-    let second = |answers: &Answers, part| answers.millis(part) / 1e3;
+    let second = |answers: &AnswerStats, part| answers.latency_millis(part) / 1e3;
     Ok([
         (RESIDENT, memory.resident as f64),
         (PEAK, memory.peak as f64),
@@ -131,28 +131,30 @@
     let full = fleet.wait(FILLING, |fleet| Ok(fleet.open() >= count))?;
     let answers = load.finish()?;
     tracing::info!(
-        held = answers.taken,
+        held = answers.accepted,
         refused = answers.refused,
-        unheard = answers.nothing,
+        unheard = answers.unanswered,
         took = ?began.elapsed(),
         "filled"
     );
-    if full { Ok(()) } else { Err(Error::Failed(format!("{} of {count} were taken on", answers.taken))) }
+    if full { Ok(()) } else { Err(Error::Failed(format!("{} of {count} were taken on", answers.accepted))) }
 }
 
 /// Kills the sender and starts it again; how long it took to be ready.
 fn restart(fleet: &mut Fleet) -> Result<Duration, Error> {
-    fleet.record.tell(|judge, now| judge.sender_down(0, now));
+    fleet.record.with(|judge, now| judge.record_sender_stop(0, now));
     fleet.senders[0].end(Signal::SIGKILL)?;
     let took = fleet.senders[0].start()?;
-    fleet.record.tell(|judge, now| judge.sender_up(0, now));
+    fleet.record.with(|judge, now| judge.record_sender_ready(0, now));
     Ok(took)
 }
 
 /// Hands in webhooks that are delivered at once, as fast as they are taken on, until the folder has shrunk: then it was
 /// written anew, or a part of it given up. Returns the answers.
-fn pass_by(fleet: &Fleet) -> Result<Answers, Error> {
-    fleet.receivers(|receivers, _| receivers.set(SERVING, Some(Behaviour::Serve(Duration::ZERO))))?;
+fn pass_by(fleet: &Fleet) -> Result<AnswerStats, Error> {
+    fleet.receivers(|receivers, _| {
+        receivers.set_destination_behaviour(SERVING, Some(Behaviour::Serve(Duration::ZERO)))
+    })?;
     let first = |own: u32| u32::MAX / PASSERS * own;
     let tasks = (0..PASSERS).map(|own| task(fleet, vec![SERVING], first(own), u64::MAX, f64::INFINITY));
     let load = Load::start(tasks.collect(), &fleet.record, fleet.guard.stop())?;
@@ -163,28 +165,28 @@
         Ok(size < largest.get() / 10 * 9)
     })?;
     let answers = load.finish()?;
-    tracing::info!(passed = answers.taken, refused = answers.refused, shrank, "others passed by");
+    tracing::info!(passed = answers.accepted, refused = answers.refused, shrank, "others passed by");
     Ok(answers)
 }
 
 /// Has half of the backlog delivered while new webhooks come. Returns the processor time of a delivery, and the answers
 /// to the new ones.
-fn deliver(fleet: &Fleet, count: u64) -> Result<(f64, Answers), Error> {
+fn deliver(fleet: &Fleet, count: u64) -> Result<(f64, AnswerStats), Error> {
     let sender = &fleet.senders[0];
-    fleet.receivers(|receivers, _| receivers.set_usual(Behaviour::Serve(Duration::ZERO)))?;
+    fleet.receivers(|receivers, _| receivers.set_default_behaviour(Behaviour::Serve(Duration::ZERO)))?;
     let new = (0..NEW_CLIENTS).map(|own| {
         let destinations = (0..DESTINATIONS).filter(|dest| dest % NEW_CLIENTS == own).collect();
         task(fleet, destinations, u32::MAX / 2, u64::MAX, NEW_RATE / f64::from(NEW_CLIENTS))
     });
-    let (calls, time) = (fleet.receivers(|receivers, _| receivers.calls())?, sender.processor_time());
+    let (calls, time) = (fleet.receivers(|receivers, _| receivers.call_count())?, sender.processor_time());
     let load = Load::start(new.collect(), &fleet.record, fleet.guard.stop())?;
     fleet.wait(DELIVERY, move |fleet| {
-        Ok(fleet.receivers(|receivers, _| receivers.calls())? >= calls + count / 2)
+        Ok(fleet.receivers(|receivers, _| receivers.call_count())? >= calls + count / 2)
     })?;
     let time = sender.processor_time() - time;
-    let calls = fleet.receivers(|receivers, _| receivers.calls())? - calls;
+    let calls = fleet.receivers(|receivers, _| receivers.call_count())? - calls;
     let answers = load.finish()?;
-    tracing::info!(calls, time, new = answers.taken, refused = answers.refused, "delivered");
+    tracing::info!(calls, time, new = answers.accepted, refused = answers.refused, "delivered");
     if calls == 0 {
         return Err(Error::Failed("nothing of the backlog was delivered".into()));
     }
--- a/crates/scale/src/verbs/slope/senders.rs
+++ b/crates/scale/src/verbs/slope/senders.rs
@@ -139,13 +139,13 @@
         rate: f64::INFINITY,
     });
     let answers = Load::start(tasks.collect(), &fleet.record, fleet.guard.stop())?.join()?;
-    tracing::info!(held = answers.taken, refused = answers.refused, "held for a destination that is down");
+    tracing::info!(held = answers.accepted, refused = answers.refused, "held for a destination that is down");
     Ok(())
 }
 
 /// Calls to the destination, list calls and bytes so far.
 fn seen(fleet: &Fleet) -> Result<[u64; 3], Error> {
-    let calls = fleet.receivers(|receivers, _| receivers.calls_to(DOWN))?;
-    let total = fleet.list(|list, _| list.total())?;
+    let calls = fleet.receivers(|receivers, _| receivers.call_count_to(DOWN))?;
+    let total = fleet.list(|list, _| list.total_traffic())?;
     Ok([calls, total.list_calls, total.list_bytes])
 }
--- a/crates/scale/tests/judge.rs
+++ b/crates/scale/tests/judge.rs
@@ -1,7 +1,7 @@
 //! The judge of the rules: what keeps each, and what breaks it.
 
 use scalebarrow_scale::standins::id::{EventType, WebhookId};
-use scalebarrow_scale::standins::judge::{CallEnd, Judge, Place, Rule, Terms};
+use scalebarrow_scale::standins::judge::{CallOutcome, EndpointLocation, Judge, Rule, RuleParameters};
 
 /// One record, as the stand-ins tell it.
 #[derive(Debug, Clone, Copy)]
@@ -12,7 +12,7 @@
     Unheard(WebhookId),
     Refused(WebhookId),
     Called(WebhookId),
-    Answered(WebhookId, CallEnd),
+    Answered(WebhookId, CallOutcome),
     Ended(WebhookId),
     Noticed(WebhookId),
     Down(u16),
@@ -20,7 +20,7 @@
     /// Its process has ended, some time after it was told to.
     Over(u16),
     /// A call at an endpoint.
-    CalledAt(WebhookId, Place),
+    CalledAt(WebhookId, EndpointLocation),
     /// Version 2 of the list says that endpoint 7 drains, or later that it does not.
     Drains(bool),
     /// A sender is written that version.
@@ -35,7 +35,7 @@
     Out,
     Back,
 }
-use CallEnd::{Delivered, Failed};
+use CallOutcome::{Delivered, Failed};
 use Seen::{
     Answered, Back, Called, CalledAt, Crowded, Down, Drains, Ended, Noticed, Out, Over, Refused, Stopped,
     Taken, Told, Unanswered, Unheard, Up,
@@ -43,42 +43,42 @@
 
 const TTL: f64 = 10.0;
 const RATE: f64 = 10.0;
-const TURNED_AWAY: CallEnd = CallEnd::Refused(0.0);
+const TURNED_AWAY: CallOutcome = CallOutcome::Refused(0.0);
 
 fn id(event_type: EventType, number: u32) -> WebhookId {
-    WebhookId { sender: 3, dest: 1, number, event_type }
+    WebhookId { sender: 3, destination: 1, number, event_type }
 }
 
 /// The rules that a story breaks, and how many records broke one.
 fn judge(story: &[(f64, Seen)], end: f64) -> (Vec<Rule>, u64) {
-    let mut judge = Judge::new(Terms::default());
+    let mut judge = Judge::new(RuleParameters::default());
     for (at, seen) in story.iter().copied() {
         match seen {
             Taken(id) => {
-                judge.handed_in(id, at, TTL);
-                judge.taken(id);
+                judge.record_hand_in(id, at, TTL);
+                judge.record_accepted(id);
             }
-            Unheard(id) => judge.handed_in(id, at, TTL),
+            Unheard(id) => judge.record_hand_in(id, at, TTL),
             Refused(id) => {
-                judge.handed_in(id, at, TTL);
-                judge.refused(id, at);
+                judge.record_hand_in(id, at, TTL);
+                judge.record_refused(id, at);
             }
-            Called(id) => judge.called(id, Place::default(), at),
-            Answered(id, how) => judge.answered(id, at, how),
-            Ended(id) => judge.connection_ended(id, at),
-            Noticed(id) => judge.noticed(id, at),
-            Down(sender) => judge.sender_down(sender, at),
-            Up(sender) => judge.sender_up(sender, at),
-            Over(sender) => judge.sender_ended(sender, at),
-            CalledAt(id, place) => judge.called(id, place, at),
-            Drains(true) => judge.drain_listed(7, 2),
-            Drains(false) => judge.drain_ended(7),
-            Told(sender) => judge.list_told(sender, 2, at),
-            Unanswered(id, age) => judge.unanswered(id, at - age, at),
-            Stopped(sender, ago) => judge.left_waiting(sender, at - ago, at),
-            Crowded(sender) => judge.crowded(sender, at, at + 10.0),
-            Out => judge.outage_began(1, at, RATE),
-            Back => judge.outage_ended(1, at),
+            Called(id) => judge.record_call(id, EndpointLocation::default(), at),
+            Answered(id, how) => judge.record_answer(id, at, how),
+            Ended(id) => judge.record_connection_end(id, at),
+            Noticed(id) => judge.record_notice(id, at),
+            Down(sender) => judge.record_sender_stop(sender, at),
+            Up(sender) => judge.record_sender_ready(sender, at),
+            Over(sender) => judge.record_sender_exit(sender, at),
+            CalledAt(id, place) => judge.record_call(id, place, at),
+            Drains(true) => judge.record_drain_listed(7, 2),
+            Drains(false) => judge.record_drain_end(7),
+            Told(sender) => judge.record_list_sent(sender, 2, at),
+            Unanswered(id, age) => judge.record_unanswered(id, at - age, at),
+            Stopped(sender, ago) => judge.record_stalled_client(sender, at - ago, at),
+            Crowded(sender) => judge.record_connection_flood(sender, at, at + 10.0),
+            Out => judge.record_outage_start(1, at, RATE),
+            Back => judge.record_outage_end(1, at),
         }
     }
     let (counts, breaches) = judge.finish(end);
@@ -238,7 +238,7 @@
     let once = id(EventType::AtMostOnce, 1);
     let token = id(EventType::Tokened, 1);
     let idem = id(EventType::Idempotent, 1);
-    let again = |w: WebhookId, how: CallEnd, at: f64| {
+    let again = |w: WebhookId, how: CallOutcome, at: f64| {
         [(0.0, Taken(w)), (0.5, Called(w)), (0.6, Answered(w, how)), (at, Called(w))]
     };
     check(&[
@@ -344,9 +344,9 @@
 #[test]
 fn waits_are_heeded() {
     let [one, two] = [1, 2].map(|number| id(EventType::Idempotent, number));
-    let wait = CallEnd::Refused(2.0);
+    let wait = CallOutcome::Refused(2.0);
     let told = [(0.0, Taken(one)), (0.0, Taken(two)), (1.0, Called(one)), (1.0, Answered(one, wait))];
-    let elsewhere = WebhookId { dest: 2, ..two };
+    let elsewhere = WebhookId { destination: 2, ..two };
     let others = WebhookId { sender: 4, ..two };
     let story = |rest: &[(f64, Seen)]| [&told[..], rest].concat();
     check(&[
@@ -369,8 +369,8 @@
 #[test]
 fn a_key_that_one_zone_knows_is_repeated_there_alone() {
     let one = id(EventType::TokenedInZone, 1);
-    let [north, south] = [0, 1].map(|zone| Place { endpoint: u32::from(zone), zone });
-    let story = |end: Seen, again: f64, place: Place| {
+    let [north, south] = [0, 1].map(|zone| EndpointLocation { endpoint: u32::from(zone), zone });
+    let story = |end: Seen, again: f64, place: EndpointLocation| {
         [
             (0.0, Taken(one)),
             (1.0, CalledAt(one, north)),
@@ -391,8 +391,8 @@
 #[test]
 fn drains_are_kept() {
     let one = id(EventType::Idempotent, 1);
-    let there = CalledAt(one, Place { endpoint: 7, zone: 0 });
-    let elsewhere = CalledAt(one, Place { endpoint: 6, zone: 0 });
+    let there = CalledAt(one, EndpointLocation { endpoint: 7, zone: 0 });
+    let elsewhere = CalledAt(one, EndpointLocation { endpoint: 6, zone: 0 });
     let story = |rest: &[(f64, Seen)]| {
         [&[(0.0, Taken(one)), (1.0, Drains(true))], rest, &[(9.0, Noticed(one))]].concat()
     };
@@ -455,18 +455,18 @@
 #[test]
 fn an_answer_that_may_have_been_lost_on_its_way_allows_both() {
     let one = id(EventType::Idempotent, 1);
-    let story = |how: CallEnd, rest: &[(f64, Seen)]| {
+    let story = |how: CallOutcome, rest: &[(f64, Seen)]| {
         [&[(0.0, Taken(one)), (1.0, Called(one)), (1.1, Answered(one, how))], rest].concat()
     };
     check(&[
-        ("uncertain, and nothing more", &story(CallEnd::Uncertain, &[]), 12.0, &[]),
+        ("uncertain, and nothing more", &story(CallOutcome::Uncertain, &[]), 12.0, &[]),
         (
             "uncertain, and sent again",
-            &story(CallEnd::Uncertain, &[(2.0, Called(one)), (2.1, Answered(one, Delivered))]),
+            &story(CallOutcome::Uncertain, &[(2.0, Called(one)), (2.1, Answered(one, Delivered))]),
             12.0,
             &[],
         ),
-        ("uncertain, and given up", &story(CallEnd::Uncertain, &[(9.0, Noticed(one))]), 12.0, &[]),
+        ("uncertain, and given up", &story(CallOutcome::Uncertain, &[(9.0, Noticed(one))]), 12.0, &[]),
         (
             "delivered just before its time is up, read too late and given up",
             &[(0.0, Taken(one)), (9.8, Called(one)), (9.9, Answered(one, Delivered)), (10.1, Noticed(one))],
@@ -522,8 +522,8 @@
 #[test]
 fn ids_tell_all_that_a_receiver_needs() {
     for event_type in EventType::ALL {
-        for (sender, dest, number) in [(0, 0, 0), (559, 119_999, u32::MAX)] {
-            let id = WebhookId { sender, dest, number, event_type };
+        for (sender, destination, number) in [(0, 0, 0), (559, 119_999, u32::MAX)] {
+            let id = WebhookId { sender, destination, number, event_type };
             assert_eq!(id.to_string().parse(), Ok(id));
         }
     }
--- a/crates/scale/tests/standins.rs
+++ b/crates/scale/tests/standins.rs
@@ -1,12 +1,12 @@
 //! The stand-ins by themselves: what they answer, and that the judge hears of it.
 
-use scalebarrow_scale::standins::clients::{Client, Heard};
+use scalebarrow_scale::standins::clients::{Client, HandInResult};
 use scalebarrow_scale::standins::id::{EventType, WebhookId};
-use scalebarrow_scale::standins::judge::{Judge, Rule, Terms};
+use scalebarrow_scale::standins::judge::{Judge, Rule, RuleParameters};
 use scalebarrow_scale::standins::list_service::{Endpoint, ListService};
 use scalebarrow_scale::standins::message::{Malformed, Request, answer, take_status};
-use scalebarrow_scale::standins::receivers::{Behaviour, Receivers, Record};
-use scalebarrow_scale::standins::server::{Connection, Replies, Server, Service};
+use scalebarrow_scale::standins::receivers::{Behaviour, Receivers, SharedJudge};
+use scalebarrow_scale::standins::server::{Connection, Server, ServerActions, Service};
 use std::collections::HashMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -23,12 +23,12 @@
     SocketAddr::from(([127, 190 + (process % 10) as u8, (process / 10 % 250) as u8, own], 18_081))
 }
 
-fn record() -> Record {
-    Record::new(Judge::new(Terms::default()))
+fn record() -> SharedJudge {
+    SharedJudge::new(Judge::new(RuleParameters::default()))
 }
 
 fn id(event_type: EventType, number: u32) -> WebhookId {
-    WebhookId { sender: 0, dest: 1, number, event_type }
+    WebhookId { sender: 0, destination: 1, number, event_type }
 }
 
 fn connect(at: SocketAddr) -> TcpStream {
@@ -87,23 +87,26 @@
         (Behaviour::Serve(Duration::ZERO), Some(200)),
         (Behaviour::Serve(Duration::from_millis(5)), Some(200)),
         (Behaviour::Refuse, Some(503)),
-        (Behaviour::Wait(0.0), Some(429)),
+        (Behaviour::RetryAfter(0.0), Some(429)),
         (Behaviour::Fail, Some(500)),
         (Behaviour::HangUp, None),
     ];
     for (number, (behaviour, status)) in cases.into_iter().enumerate() {
         let id = id(EventType::Idempotent, number as u32);
-        record.tell(|judge, now| judge.handed_in(id, now, TTL));
-        record.tell(|judge, _| judge.taken(id));
-        receivers.with(move |r, _| r.set(1, Some(behaviour))).unwrap();
+        record.with(|judge, now| judge.record_hand_in(id, now, TTL));
+        record.with(|judge, _| judge.record_accepted(id));
+        receivers.with_service(move |r, _| r.set_destination_behaviour(1, Some(behaviour))).unwrap();
         let mut stream = connect(at);
         call(&mut stream, id);
         assert_eq!(hear(&mut stream).map(|a| a.0), status, "{behaviour:?}");
     }
-    let (counts, breaches) = record.tell(|judge, now| judge.finish(now));
-    assert_eq!((counts.taken, counts.calls, counts.delivered, counts.open), (6, 6, 2, 4));
+    let (counts, breaches) = record.with(|judge, now| judge.finish(now));
+    assert_eq!((counts.accepted, counts.calls, counts.delivered, counts.pending), (6, 6, 2, 4));
     assert_eq!(breaches, []);
-    assert_eq!(receivers.with(|r, _| (r.calls(), r.calls_to(1), r.calls_to(2))), Some((6, 6, 0)));
+    assert_eq!(
+        receivers.with_service(|r, _| (r.call_count(), r.call_count_to(1), r.call_count_to(2))),
+        Some((6, 6, 0))
+    );
 }
 
 #[test]
@@ -111,20 +114,20 @@
     let (at, record) = (address(), record());
     let _receivers = Server::start(&[at], Receivers::new(record.clone(), Behaviour::Fail)).unwrap();
     let once = id(EventType::AtMostOnce, 1);
-    record.tell(|judge, now| judge.handed_in(once, now, TTL));
+    record.with(|judge, now| judge.record_hand_in(once, now, TTL));
     let mut stream = connect(at);
     for _ in 0..2 {
         call(&mut stream, once);
         assert_eq!(hear(&mut stream).unwrap().0, 500);
     }
-    let (_, breaches) = record.tell(|judge, now| judge.finish(now));
+    let (_, breaches) = record.with(|judge, now| judge.finish(now));
     assert_eq!(breaches.iter().map(|b| b.rule).collect::<Vec<_>>(), [Rule::Twice]);
 }
 
 #[test]
 fn lists_watches_and_notices() {
     let (at, record) = (address(), record());
-    let lines: Vec<Endpoint> = (0..3).map(|dest| Endpoint::of(dest, at, 1.0)).collect();
+    let lines: Vec<Endpoint> = (0..3).map(|dest| Endpoint::new(dest, at, 1.0)).collect();
     let service = ListService::new(record.clone(), HashMap::from([(at, 7)]), lines.clone());
     let list = Server::start(&[at], service).unwrap();
     let ask = |target: &str| {
@@ -144,23 +147,26 @@
     assert_eq!(told(&mut ask("?since=1&timeout_ms=20")), (1, false, 0));
     let mut watch = ask("?since=1&timeout_ms=60000");
     let since = Instant::now();
-    while list.with(|l, _| l.watching()) != Some(1) {
+    while list.with_service(|l, _| l.watch_count()) != Some(1) {
         assert!(since.elapsed() < LONG);
     }
     let change = lines[1].clone();
-    list.with(move |l, replies| l.change(vec![change], replies)).unwrap();
+    list.with_service(move |l, actions| l.update_endpoints(vec![change], actions)).unwrap();
     assert_eq!(told(&mut watch), (2, false, 1));
-    assert_eq!(list.with(|l, _| l.up_to_date()), Some(0));
+    assert_eq!(list.with_service(|l, _| l.up_to_date_senders()), Some(0));
     assert_eq!(told(&mut ask("?since=1&timeout_ms=60000")), (2, false, 1));
     assert_eq!(told(&mut ask("?since=2&timeout_ms=20")), (2, false, 0));
-    assert_eq!(list.with(|l, _| (l.up_to_date(), l.take_delays().len())), Some((1, 1)));
+    assert_eq!(
+        list.with_service(|l, _| (l.up_to_date_senders(), l.take_propagation_delays().len())),
+        Some((1, 1))
+    );
     // Who has missed the history gets the whole list.
-    list.with(|l, replies| l.tell_whole(replies)).unwrap();
+    list.with_service(|l, actions| l.send_full_list(actions)).unwrap();
     assert_eq!(told(&mut ask("?since=2&timeout_ms=60000")), (3, true, 3));
 
     let given_up = id(EventType::Idempotent, 1);
-    record.tell(|judge, now| judge.handed_in(given_up, now, TTL));
-    record.tell(|judge, _| judge.taken(given_up));
+    record.with(|judge, now| judge.record_hand_in(given_up, now, TTL));
+    record.with(|judge, _| judge.record_accepted(given_up));
     for (line, status) in [
         (format!(r#"{{"id":"{given_up}","state":"failed"}}"#), 204),
         (format!(r#"{{"id":"{given_up}","state":"other"}}"#), 400),
@@ -171,19 +177,19 @@
         stream.write_all([head.as_bytes(), line.as_bytes()].concat().as_slice()).unwrap();
         assert_eq!(hear(&mut stream).unwrap().0, status, "{line}");
     }
-    let (counts, breaches) = record.tell(|judge, now| judge.finish(now));
+    let (counts, breaches) = record.with(|judge, now| judge.finish(now));
     assert_eq!((counts.given_up, breaches), (1, Vec::new()));
-    assert_eq!(list.with(|l, _| l.total().notice_calls), Some(3));
+    assert_eq!(list.with_service(|l, _| l.total_traffic().notice_calls), Some(3));
 }
 
 /// Answers each hand-in with the next status of a row; 0 ends the connection instead.
 struct Sender(Vec<u16>);
 
 impl Service for Sender {
-    fn request(&mut self, from: Connection, _: SocketAddr, _: Request, replies: &mut Replies) {
+    fn request(&mut self, from: Connection, _: SocketAddr, _: Request, actions: &mut ServerActions) {
         match self.0.remove(0) {
-            0 => replies.end(from),
-            status => replies.send(from, answer(status, "", "")),
+            0 => actions.end(from),
+            status => actions.send(from, answer(status, "", "")),
         }
     }
 }
@@ -199,12 +205,12 @@
     for number in 0..6 {
         heard.push(client.hand_in(id(EventType::Idempotent, number), Duration::from_secs(60)));
     }
-    let (taken, refused, nothing) = (Heard::Taken, Heard::Refused, Heard::Nothing);
+    let (taken, refused, nothing) = (HandInResult::Accepted, HandInResult::Refused, HandInResult::NoAnswer);
     assert_eq!(heard, [taken, refused, refused, nothing, taken, taken]);
-    assert_eq!((client.answers.taken, client.answers.refused, client.answers.nothing), (3, 2, 1));
-    assert_eq!(client.answers.micros.len(), 5);
-    let (counts, _) = record.tell(|judge, now| judge.finish(now));
-    assert_eq!((counts.taken, counts.refused, counts.unanswered), (3, 2, 1));
+    assert_eq!((client.answers.accepted, client.answers.refused, client.answers.unanswered), (3, 2, 1));
+    assert_eq!(client.answers.latency_micros.len(), 5);
+    let (counts, _) = record.with(|judge, now| judge.finish(now));
+    assert_eq!((counts.accepted, counts.refused, counts.unanswered), (3, 2, 1));
 }
 
 #[test]
@@ -212,14 +218,14 @@
     let (at, record) = (address(), record());
     let server = Server::start(&[at], Receivers::new(record, Behaviour::Refuse)).unwrap();
     let mut open = connect(at);
-    server.with(move |_, replies| replies.shut(at)).unwrap();
+    server.with_service(move |_, actions| actions.close_listener(at)).unwrap();
     // Ended or reset: either way nothing comes any more.
     assert!(open.read(&mut [0]).is_ok_and(|count| count == 0) || open.read(&mut [0]).is_err());
     let since = Instant::now();
     while TcpStream::connect(at).is_ok() {
         assert!(since.elapsed() < LONG, "it is not shut");
     }
-    server.with(move |_, replies| replies.open(at)).unwrap();
+    server.with_service(move |_, actions| actions.open_listener(at)).unwrap();
     while TcpStream::connect(at).is_err() {
         assert!(since.elapsed() < LONG, "it is not open");
     }
