--- a/crates/scale/src/standins/clients.rs
+++ b/crates/scale/src/standins/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that hand webhooks in, over connections that they keep, and how long each answer took.
+//! Clients that hand webhooks in over kept-alive connections, and measure how long each answer takes.
 
 use super::id::{EventType, WebhookId};
 use super::message::take_status;
@@ -8,45 +8,54 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A client waits so long for an answer. Longer than the platform's 400 ms, so that worse ones are measured as well.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// How long a client waits for an answer. It is longer than the 400 ms that the platform waits, so that
+/// slower answers are measured as well.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A client whose kept connection ended tries so long to hand in once more over a new one, and so often.
-const AGAIN: Duration = Duration::from_millis(1500);
-const AGAIN_PAUSE: Duration = Duration::from_millis(20);
+/// How long a client whose kept-alive connection ended tries to hand the webhook in over a new one.
+const RETRY_LIMIT: Duration = Duration::from_millis(1500);
+/// The pause between two such tries.
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// What a client heard.
+/// What came of handing a webhook in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HandInResult {
+    /// The sender accepted it.
     Accepted,
+    /// The sender refused it.
     Refused,
+    /// The sender gave no answer, or one that is neither of these.
     NoAnswer,
 }
 
-/// Answers of a sender, in numbers and microseconds.
+/// The answers that clients got, with the time that each took.
 #[derive(Debug, Clone)]
 pub struct AnswerStats {
+    /// Webhooks that were accepted.
     pub accepted: u64,
+    /// Webhooks that were refused.
     pub refused: u64,
+    /// Webhooks without either answer.
     pub unanswered: u64,
+    /// Microseconds until each webhook was accepted or refused.
     pub latency_micros: Histogram<u64>,
 }
 
 impl Default for AnswerStats {
     fn default() -> Self {
-        // Three digits, growing as needed: such a histogram can always be made.
+        // A histogram of three digits that grows as needed can always be created.
         let latency_micros = Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits are allowed"));
         AnswerStats { accepted: 0, refused: 0, unanswered: 0, latency_micros }
     }
 }
 
 impl AnswerStats {
-    /// Takes in what another client heard.
+    /// Adds the answers that another client got.
     pub fn merge(&mut self, other: &AnswerStats) {
         self.accepted += other.accepted;
         self.refused += other.refused;
         self.unanswered += other.unanswered;
-        // Histograms of one precision that grow can always be added.
+        // Growing histograms of the same precision can always be added.
         let _ = self.latency_micros.add(&other.latency_micros);
     }
 
@@ -55,77 +64,82 @@
         self.accepted + self.refused + self.unanswered
     }
 
-    /// Milliseconds that a part of the answers did not exceed.
-    pub fn latency_millis(&self, part: f64) -> f64 {
-        self.latency_micros.value_at_quantile(part) as f64 / 1e3
+    /// A quantile of the answer times, in milliseconds.
+    pub fn latency_millis(&self, quantile: f64) -> f64 {
+        self.latency_micros.value_at_quantile(quantile) as f64 / 1e3
     }
 }
 
 /// A client with one connection to one sender.
 pub struct Client {
-    to: SocketAddr,
+    address: SocketAddr,
     stream: Option<TcpStream>,
-    record: SharedJudge,
+    judge: SharedJudge,
     body: Vec<u8>,
+    /// The answers that it got.
     pub answers: AnswerStats,
 }
 
 impl Client {
-    pub fn new(to: SocketAddr, record: SharedJudge, body: usize) -> Self {
-        Client { to, stream: None, record, body: vec![b'x'; body], answers: AnswerStats::default() }
+    /// A client of the sender at an address. Its webhooks have bodies of `body_bytes`.
+    pub fn new(address: SocketAddr, judge: SharedJudge, body_bytes: usize) -> Self {
+        Client { address, stream: None, judge, body: vec![b'x'; body_bytes], answers: AnswerStats::default() }
     }
 
     /// Hands a webhook in and waits for the answer.
     pub fn hand_in(&mut self, id: WebhookId, ttl: Duration) -> HandInResult {
-        self.record.with(|judge, now| judge.record_hand_in(id, now, ttl.as_secs_f64()));
-        let began = Instant::now();
-        // A sender may close a connection between requests: then it is handed in once more over a new one.
-        let kept = self.stream.is_some();
-        let mut sent = self.record.now();
+        self.judge.with(|judge, now| judge.record_hand_in(id, now, ttl.as_secs_f64()));
+        let began_at = Instant::now();
+        // A sender may close a connection between two requests: the client then tries again over a new one.
+        let reused_connection = self.stream.is_some();
+        let mut sent_at = self.judge.now();
         let mut status = self.exchange(id, ttl);
-        let ended = |status: &io::Result<u16>| {
-            let ends = [ErrorKind::UnexpectedEof, ErrorKind::ConnectionReset, ErrorKind::BrokenPipe];
-            status.as_ref().is_err_and(|e| ends.contains(&e.kind()))
+        let connection_ended = |status: &io::Result<u16>| {
+            let kinds = [ErrorKind::UnexpectedEof, ErrorKind::ConnectionReset, ErrorKind::BrokenPipe];
+            status.as_ref().is_err_and(|error| kinds.contains(&error.kind()))
         };
-        let again_until = Instant::now() + AGAIN;
-        while kept && ended(&status) {
-            sent = self.record.now();
+        let retry_until = Instant::now() + RETRY_LIMIT;
+        while reused_connection && connection_ended(&status) {
+            sent_at = self.judge.now();
             // The time to live began with the first try.
-            status = self.exchange(id, ttl.saturating_sub(began.elapsed()));
-            let refused = status.as_ref().is_err_and(|e| e.kind() == ErrorKind::ConnectionRefused);
-            if !refused || Instant::now() > again_until {
+            status = self.exchange(id, ttl.saturating_sub(began_at.elapsed()));
+            let connection_refused =
+                status.as_ref().is_err_and(|error| error.kind() == ErrorKind::ConnectionRefused);
+            if !connection_refused || Instant::now() > retry_until {
                 break;
             }
-            // The sender is being started again: it may know the webhook already.
-            std::thread::sleep(AGAIN_PAUSE);
+            // The sender is restarting: it may have accepted the webhook already.
+            std::thread::sleep(RETRY_PAUSE);
             status = Err(ErrorKind::UnexpectedEof.into());
         }
-        if ended(&status) {
-            self.record.with(|judge, now| judge.record_unanswered(id, sent, now));
+        if connection_ended(&status) {
+            self.judge.with(|judge, now| judge.record_unanswered(id, sent_at, now));
         }
-        let heard = match status {
+        let result = match status {
             Ok(200 | 202) => HandInResult::Accepted,
             Ok(429 | 503) => HandInResult::Refused,
             _ => HandInResult::NoAnswer,
         };
-        match heard {
+        match result {
             HandInResult::Accepted => {
                 self.answers.accepted += 1;
-                self.record.with(|judge, _| judge.record_accepted(id));
+                self.judge.with(|judge, _| judge.record_accepted(id));
             }
             HandInResult::Refused => {
                 self.answers.refused += 1;
-                self.record.with(|judge, now| judge.record_refused(id, now));
+                self.judge.with(|judge, now| judge.record_refused(id, now));
             }
             HandInResult::NoAnswer => self.answers.unanswered += 1,
         }
-        if heard != HandInResult::NoAnswer {
-            // A histogram that grows takes any value.
-            let _ = self.answers.latency_micros.record(began.elapsed().as_micros() as u64);
+        if result != HandInResult::NoAnswer {
+            // A growing histogram takes any value.
+            let _ = self.answers.latency_micros.record(began_at.elapsed().as_micros() as u64);
         }
-        heard
+        result
     }
 
+    /// Sends the request and reads the status of the response. After an error the next exchange opens a new
+    /// connection.
     fn exchange(&mut self, id: WebhookId, ttl: Duration) -> io::Result<u16> {
         let result = self.try_exchange(id, ttl);
         if result.is_err() {
@@ -138,20 +152,20 @@
         let stream = match &mut self.stream {
             Some(stream) => stream,
             none => {
-                let stream = TcpStream::connect(self.to)?;
+                let stream = TcpStream::connect(self.address)?;
                 stream.set_nodelay(true)?;
-                stream.set_read_timeout(Some(PATIENCE))?;
+                stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
                 none.insert(stream)
             }
         };
         stream.write_all(&request(id, ttl, &self.body))?;
-        let (mut buffer, mut scratch) = (Vec::new(), [0; 1024]);
+        let (mut buffer, mut read_buffer) = (Vec::new(), [0; 1024]);
         loop {
-            let count = stream.read(&mut scratch)?;
+            let count = stream.read(&mut read_buffer)?;
             if count == 0 {
                 return Err(ErrorKind::UnexpectedEof.into());
             }
-            buffer.extend_from_slice(&scratch[..count]);
+            buffer.extend_from_slice(&read_buffer[..count]);
             match take_status(&mut buffer) {
                 Ok(Some(status)) => return Ok(status),
                 Ok(None) => {}
@@ -161,17 +175,17 @@
     }
 }
 
-/// The bytes of a webhook handed in.
+/// The bytes of a request that hands a webhook in.
 fn request(id: WebhookId, ttl: Duration, body: &[u8]) -> Vec<u8> {
-    let (event_type, dest, size) = (id.event_type.name(), id.destination, body.len());
-    let key = match id.event_type {
-        EventType::Ordered => format!("Req-Key: k{dest}\r\n"),
+    let (event_type, destination, body_length) = (id.event_type.name(), id.destination, body.len());
+    let key_header = match id.event_type {
+        EventType::Ordered => format!("Req-Key: k{destination}\r\n"),
         EventType::Tokened | EventType::TokenedInZone => format!("Idempotency-Key: token-{id}\r\n"),
         _ => String::new(),
     };
     let head = format!(
-        "POST /{event_type} HTTP/1.1\r\nHost: a\r\nReq-Id: {id}\r\nReq-Deadline: {}m\r\n{key}\
-         X-Addressing: dest={dest}\r\nContent-Length: {size}\r\n\r\n",
+        "POST /{event_type} HTTP/1.1\r\nHost: a\r\nReq-Id: {id}\r\nReq-Deadline: {}m\r\n{key_header}\
+         X-Addressing: dest={destination}\r\nContent-Length: {body_length}\r\n\r\n",
         ttl.as_millis()
     );
     [head.as_bytes(), body].concat()
--- a/crates/scale/src/standins/id.rs
+++ b/crates/scale/src/standins/id.rs
@@ -1,23 +1,27 @@
-//! Ids of the stand-ins' webhooks: they tell who took the webhook, where it goes and what it may be repeated for, so
-//! that a receiver knows all that from the id alone.
+//! Ids of the stand-ins' webhooks. An id holds the sender, the destination and the event type, so that a
+//! receiver knows from the id alone what the rules require for the webhook.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// The event types of all runs, one for each effect, and one whose webhooks keep their order.
+/// The event types of all runs: one for each kind of effect, and one whose webhooks keep their order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum EventType {
+    /// Repeating a webhook does no harm.
     Idempotent,
-    /// Every endpoint of the destination knows a repeat.
+    /// Every endpoint of the destination recognizes a repeat by its idempotency key.
     Tokened,
-    /// Only the endpoints of one zone know a repeat.
+    /// Only the endpoints of one zone recognize a repeat.
     TokenedInZone,
+    /// A webhook must not be sent again once it may have taken effect.
     AtMostOnce,
-    /// Idempotent, and webhooks with one key go one at a time. The key is the destination.
+    /// Idempotent, and webhooks with one ordering key are sent one at a time. The ordering key is the
+    /// destination.
     Ordered,
 }
 
 impl EventType {
+    /// All event types.
     pub const ALL: [EventType; 5] = [
         EventType::Idempotent,
         EventType::Tokened,
@@ -37,7 +41,7 @@
         }
     }
 
-    /// The letter in ids.
+    /// The letter in webhook ids.
     fn letter(self) -> &'static str {
         match self {
             EventType::Idempotent => "i",
@@ -49,24 +53,28 @@
     }
 }
 
-/// One webhook handed in.
+/// The id of a webhook that a client hands in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WebhookId {
+    /// The number of the sender that it is handed to.
     pub sender: u16,
+    /// The number of the destination that it is for.
     pub destination: u32,
-    /// Counted up by its client: of one sender's webhooks for one destination the later has the higher number.
+    /// A number that the client counts up: of one sender's webhooks for one destination, a later one has a
+    /// higher number.
     pub number: u32,
+    /// What may happen to it, by its event type.
     pub event_type: EventType,
 }
 
 impl fmt::Display for WebhookId {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         let letter = self.event_type.letter();
-        write!(f, "{letter}-{:x}-{:x}-{:08x}", self.sender, self.destination, self.number)
+        write!(formatter, "{letter}-{:x}-{:x}-{:08x}", self.sender, self.destination, self.number)
     }
 }
 
-/// A text that is no id of a webhook.
+/// The text is not the id of a webhook.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ParseWebhookIdError;
 
@@ -75,13 +83,15 @@
 
     fn from_str(text: &str) -> Result<Self, ParseWebhookIdError> {
         let mut parts = text.split('-');
-        let mut part = || parts.next().ok_or(ParseWebhookIdError);
-        let letter = part()?;
-        let event_type =
-            EventType::ALL.into_iter().find(|t| t.letter() == letter).ok_or(ParseWebhookIdError)?;
-        let mut number = || u32::from_str_radix(part()?, 16).map_err(|_| ParseWebhookIdError);
-        let sender = u16::try_from(number()?).map_err(|_| ParseWebhookIdError)?;
-        let id = WebhookId { sender, destination: number()?, number: number()?, event_type };
+        let mut next_part = || parts.next().ok_or(ParseWebhookIdError);
+        let letter = next_part()?;
+        let event_type = EventType::ALL
+            .into_iter()
+            .find(|event_type| event_type.letter() == letter)
+            .ok_or(ParseWebhookIdError)?;
+        let mut next_number = || u32::from_str_radix(next_part()?, 16).map_err(|_| ParseWebhookIdError);
+        let sender = u16::try_from(next_number()?).map_err(|_| ParseWebhookIdError)?;
+        let id = WebhookId { sender, destination: next_number()?, number: next_number()?, event_type };
         if parts.next().is_some() { Err(ParseWebhookIdError) } else { Ok(id) }
     }
 }
--- a/crates/scale/src/standins/list_service.rs
+++ b/crates/scale/src/standins/list_service.rs
@@ -1,110 +1,135 @@
-//! The platform: its list of endpoints with watches, and the notices that it takes.
+//! The platform's list service: it serves the endpoint list with watches, and accepts notices of webhooks
+//! that were given up.
 
-use super::message::{Request, answer};
+use super::message::{Request, response};
 use super::receivers::SharedJudge;
-use super::server::{Connection, ServerActions, Service};
+use super::server::{ConnectionId, ServerActions, Service};
 use serde::Serialize;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// One line of the list.
+/// One entry of the endpoint list. The names on the wire are those of the platform.
 #[derive(Debug, Clone, Serialize)]
 pub struct Endpoint {
+    /// The name of the endpoint, by which its entry is replaced.
     pub host: String,
-    pub dial: SocketAddr,
+    /// Where senders connect to it.
+    #[serde(rename = "dial")]
+    pub address: SocketAddr,
+    /// The zone that it is in.
     #[serde(rename = "site")]
     pub zone: String,
+    /// Its model, one of those that the settings name.
     #[serde(rename = "class")]
     pub kind: String,
+    /// The number of its destination.
     #[serde(rename = "block")]
-    pub dest: u32,
+    pub destination: u32,
+    /// SERVING or DRAINING.
     pub health: &'static str,
-    /// The rate that is listed, in calls a second.
+    /// The listed rate.
     #[serde(rename = "share")]
-    pub rate: f64,
+    pub calls_per_sec: f64,
+    /// When it started, in milliseconds since the Unix epoch; 0 if it has run all along.
     #[serde(rename = "born_ms")]
     pub started_at_ms: f64,
 }
 
 impl Endpoint {
-    /// The only endpoint of a destination.
-    pub fn new(dest: u32, dial: SocketAddr, rate: f64) -> Self {
-        let (host, zone, kind) = (format!("s-{dest:08x}"), "z".to_owned(), "plain".to_owned());
-        Endpoint { host, dial, zone, kind, dest, health: "SERVING", rate, started_at_ms: 0.0 }
+    /// A serving endpoint, named after its destination.
+    pub fn new(destination: u32, address: SocketAddr, calls_per_sec: f64) -> Self {
+        let (host, zone, kind) = (format!("s-{destination:08x}"), "z".to_owned(), "plain".to_owned());
+        Endpoint {
+            host,
+            address,
+            zone,
+            kind,
+            destination,
+            health: "SERVING",
+            calls_per_sec,
+            started_at_ms: 0.0,
+        }
     }
 }
 
-/// A list, or what changed in it, as it is written.
+/// The whole list, or the entries that changed, as it is written to senders.
 #[derive(Serialize)]
 pub struct ListUpdate<'a> {
+    /// The version of the list.
     pub seq: u64,
+    /// Whether the update holds the whole list.
     pub whole: bool,
+    /// The entries.
     pub hosts: Vec<&'a Endpoint>,
 }
 
 impl ListUpdate<'_> {
-    /// The bytes of the body.
+    /// The update as JSON.
     pub fn encode(&self) -> String {
-        // Plain structures do not fail to be written.
+        // Writing plain structures does not fail.
         serde_json::to_string(self).unwrap_or_default()
     }
 }
 
-/// What one sender's calls cost, and when it had each change.
+/// The calls of one sender to the list service, or the sum over all senders.
 #[derive(Debug, Clone, Default)]
 pub struct SenderTraffic {
+    /// Calls for the list.
     pub list_calls: u64,
+    /// Bytes written in answer to them.
     pub list_bytes: u64,
+    /// Calls with notices.
     pub notice_calls: u64,
-    /// The version that it last asked changes from.
+    /// The version that the sender last asked for changes from; the highest over all senders in a sum.
     pub version: u64,
 }
 
+/// A call for the list that is answered when the list changes.
 struct Watch {
     sender: u16,
-    since: u64,
-    until: Instant,
+    since_version: u64,
+    deadline: Instant,
 }
 
-/// The list service. Each sender reaches it at an address of its own, by which it is known.
+/// The list service. Each sender reaches it at an address of its own, by which the service knows the sender.
 pub struct ListService {
-    record: SharedJudge,
+    judge: SharedJudge,
     senders: HashMap<SocketAddr, u16>,
-    list: Vec<Endpoint>,
-    seq: u64,
-    /// What changed before this version is known no more: who asks for it gets the whole list.
-    history_from: u64,
-    /// Changed lines with the version that brought each.
+    endpoints: Vec<Endpoint>,
+    version: u64,
+    /// Changes before this version are not known any more: a sender that asks for them gets the whole list.
+    history_from_version: u64,
+    /// Changed entries, each with the version that changed it.
     changes: Vec<(u64, Endpoint)>,
     changed_at: HashMap<u64, Instant>,
-    watches: HashMap<Connection, Watch>,
+    watches: HashMap<ConnectionId, Watch>,
     traffic: HashMap<u16, SenderTraffic>,
-    /// It takes no part in anything but notices: calls for the list get no answer.
+    /// Whether calls for the list get no answer. Notices are always answered.
     silent: bool,
-    /// Seconds from a change until a sender asked for what came after it.
-    taken_in: Vec<f64>,
+    /// Seconds from each change until a sender asked for what came after it.
+    propagation_delays: Vec<f64>,
 }
 
 impl ListService {
-    /// The first version is 1.
-    pub fn new(record: SharedJudge, senders: HashMap<SocketAddr, u16>, list: Vec<Endpoint>) -> Self {
+    /// A service whose list has version 1.
+    pub fn new(judge: SharedJudge, senders: HashMap<SocketAddr, u16>, endpoints: Vec<Endpoint>) -> Self {
         ListService {
-            record,
+            judge,
             senders,
-            list,
-            seq: 1,
-            history_from: 1,
+            endpoints,
+            version: 1,
+            history_from_version: 1,
             changes: Vec::new(),
             changed_at: HashMap::new(),
             watches: HashMap::new(),
             traffic: HashMap::new(),
             silent: false,
-            taken_in: Vec::new(),
+            propagation_delays: Vec::new(),
         }
     }
 
-    /// Falls silent towards all who ask for the list, those who watch among them, or answers new calls again.
+    /// Stops answering calls for the list, open watches included; or answers new calls again.
     pub fn set_silent(&mut self, silent: bool) {
         self.silent = silent;
         if silent {
@@ -112,177 +137,188 @@
         }
     }
 
-    /// Lists lines anew, all in one version, and tells all who watch.
-    pub fn update_endpoints(&mut self, lines: Vec<Endpoint>, actions: &mut ServerActions) {
-        self.seq += 1;
-        self.changed_at.insert(self.seq, Instant::now());
-        for line in lines {
-            match self.list.iter_mut().find(|old| old.host == line.host) {
-                Some(old) => *old = line.clone(),
-                None => self.list.push(line.clone()),
+    /// Adds or replaces entries, all in one version, and answers all watches.
+    pub fn update_endpoints(&mut self, endpoints: Vec<Endpoint>, actions: &mut ServerActions) {
+        self.version += 1;
+        self.changed_at.insert(self.version, Instant::now());
+        for endpoint in endpoints {
+            match self.endpoints.iter_mut().find(|listed| listed.host == endpoint.host) {
+                Some(listed) => *listed = endpoint.clone(),
+                None => self.endpoints.push(endpoint.clone()),
             }
-            self.changes.push((self.seq, line));
+            self.changes.push((self.version, endpoint));
         }
-        let watches: Vec<(Connection, Watch)> = self.watches.drain().collect();
+        let watches: Vec<(ConnectionId, Watch)> = self.watches.drain().collect();
         for (connection, watch) in watches {
-            let bytes = self.changes_since(watch.since);
-            self.write(watch.sender, connection, bytes, actions);
+            let bytes = self.changes_since(watch.since_version);
+            self.send_list(watch.sender, connection, bytes, actions);
         }
     }
 
-    /// Answers all who watch with the whole list, in a version of its own. Changes up to it are known no more, as after a
-    /// restart of the platform.
+    /// Answers all watches with the whole list, in a new version. Changes up to this version are not known
+    /// any more, as after a restart of the platform.
     pub fn send_full_list(&mut self, actions: &mut ServerActions) {
-        self.seq += 1;
-        self.history_from = self.seq;
+        self.version += 1;
+        self.history_from_version = self.version;
         self.changes.clear();
-        self.changed_at.insert(self.seq, Instant::now());
-        let watches: Vec<(Connection, Watch)> = self.watches.drain().collect();
+        self.changed_at.insert(self.version, Instant::now());
+        let watches: Vec<(ConnectionId, Watch)> = self.watches.drain().collect();
         for (connection, watch) in watches {
-            let bytes = self.whole();
-            self.write(watch.sender, connection, bytes, actions);
+            let bytes = self.full_list();
+            self.send_list(watch.sender, connection, bytes, actions);
         }
     }
 
     /// Bytes of an answer with the whole list.
     pub fn full_list_bytes(&self) -> usize {
-        self.whole().len()
+        self.full_list().len()
     }
 
-    /// The version that stands.
+    /// The current version of the list.
     pub fn version(&self) -> u64 {
-        self.seq
+        self.version
     }
 
-    /// Senders that have taken the present version in.
+    /// Senders that have applied the current version.
     pub fn up_to_date_senders(&self) -> usize {
-        self.traffic.values().filter(|t| t.version == self.seq).count()
+        self.traffic.values().filter(|traffic| traffic.version == self.version).count()
     }
 
-    /// Watches that stand now.
+    /// Watches that are open now.
     pub fn watch_count(&self) -> usize {
         self.watches.len()
     }
 
-    /// Seconds until each change was taken in, by each sender, so far.
+    /// Takes the seconds that each sender needed to apply each change so far.
     pub fn take_propagation_delays(&mut self) -> Vec<f64> {
-        std::mem::take(&mut self.taken_in)
+        std::mem::take(&mut self.propagation_delays)
     }
 
-    /// What all senders together asked and were told.
+    /// The calls of all senders together.
     pub fn total_traffic(&self) -> SenderTraffic {
-        self.traffic.values().fold(SenderTraffic::default(), |sum, one| SenderTraffic {
-            list_calls: sum.list_calls + one.list_calls,
-            list_bytes: sum.list_bytes + one.list_bytes,
-            notice_calls: sum.notice_calls + one.notice_calls,
-            version: sum.version.max(one.version),
+        self.traffic.values().fold(SenderTraffic::default(), |sum, traffic| SenderTraffic {
+            list_calls: sum.list_calls + traffic.list_calls,
+            list_bytes: sum.list_bytes + traffic.list_bytes,
+            notice_calls: sum.notice_calls + traffic.notice_calls,
+            version: sum.version.max(traffic.version),
         })
     }
 
-    fn write(&mut self, sender: u16, to: Connection, bytes: Vec<u8>, actions: &mut ServerActions) {
+    fn send_list(
+        &mut self, sender: u16, connection: ConnectionId, bytes: Vec<u8>, actions: &mut ServerActions,
+    ) {
         self.traffic.entry(sender).or_default().list_bytes += bytes.len() as u64;
-        let version = self.seq;
-        self.record.with(|judge, now| judge.record_list_sent(sender, version, now));
-        actions.send(to, bytes);
+        let version = self.version;
+        self.judge.with(|judge, now| judge.record_list_sent(sender, version, now));
+        actions.send(connection, bytes);
     }
 
-    fn changes_since(&self, since: u64) -> Vec<u8> {
-        if since < self.history_from {
-            return self.whole();
+    fn changes_since(&self, since_version: u64) -> Vec<u8> {
+        if since_version < self.history_from_version {
+            return self.full_list();
         }
-        // A line that changed twice is told once, as it is now.
+        // An entry that changed several times is sent once, as it is now.
         let mut hosts: Vec<&Endpoint> = Vec::new();
-        for (_, line) in self.changes.iter().rev().take_while(|(seq, _)| *seq > since) {
-            if !hosts.iter().any(|h| h.host == line.host) {
-                hosts.push(line);
+        for (_, endpoint) in self.changes.iter().rev().take_while(|(version, _)| *version > since_version) {
+            if !hosts.iter().any(|newer| newer.host == endpoint.host) {
+                hosts.push(endpoint);
             }
         }
-        answer(200, "", &ListUpdate { seq: self.seq, whole: false, hosts }.encode())
+        response(200, "", &ListUpdate { seq: self.version, whole: false, hosts }.encode())
     }
 
-    fn whole(&self) -> Vec<u8> {
-        answer(
+    fn full_list(&self) -> Vec<u8> {
+        response(
             200,
             "",
-            &ListUpdate { seq: self.seq, whole: true, hosts: self.list.iter().collect() }.encode(),
+            &ListUpdate { seq: self.version, whole: true, hosts: self.endpoints.iter().collect() }.encode(),
         )
     }
 
-    /// A sender asks for what came after a version: it has taken in all up to it.
-    fn has(&mut self, sender: u16, version: u64) {
-        let known = self.traffic.entry(sender).or_default().version;
-        for seq in known.max(1) + 1..=version.min(self.seq) {
-            if let Some(changed) = self.changed_at.get(&seq) {
-                self.taken_in.push(changed.elapsed().as_secs_f64());
+    /// Records that a sender asks for what came after a version, which means that it has applied all changes
+    /// up to it.
+    fn record_applied(&mut self, sender: u16, applied_version: u64) {
+        let known_version = self.traffic.entry(sender).or_default().version;
+        for version in known_version.max(1) + 1..=applied_version.min(self.version) {
+            if let Some(changed_at) = self.changed_at.get(&version) {
+                self.propagation_delays.push(changed_at.elapsed().as_secs_f64());
             }
         }
-        self.traffic.entry(sender).or_default().version = version;
+        self.traffic.entry(sender).or_default().version = applied_version;
     }
 
-    fn notice(&mut self, body: &[u8]) -> bool {
+    /// Records the notices in a body, one a line; false if a line is not a notice.
+    fn record_notices(&mut self, body: &[u8]) -> bool {
         let text = String::from_utf8_lossy(body);
-        let mut good = true;
-        for line in text.lines().filter(|l| !l.is_empty()) {
-            good &= self.notice_line(line);
+        let mut all_valid = true;
+        for line in text.lines().filter(|line| !line.is_empty()) {
+            all_valid &= self.record_notice(line);
         }
-        good
+        all_valid
     }
 
-    fn notice_line(&mut self, line: &str) -> bool {
-        let Ok(line) = serde_json::from_str::<serde_json::Value>(line) else { return false };
-        let state = line["state"].as_str().is_some_and(|s| s == "failed" || s == "returned");
-        let Some(id) = line["id"].as_str().filter(|_| state).and_then(|id| id.parse().ok()) else {
+    fn record_notice(&mut self, line: &str) -> bool {
+        let Ok(notice) = serde_json::from_str::<serde_json::Value>(line) else { return false };
+        let state_is_valid =
+            notice["state"].as_str().is_some_and(|state| state == "failed" || state == "returned");
+        let Some(id) = notice["id"].as_str().filter(|_| state_is_valid).and_then(|id| id.parse().ok()) else {
             return false;
         };
-        self.record.with(|judge, now| judge.record_notice(id, now));
+        self.judge.with(|judge, now| judge.record_notice(id, now));
         true
     }
 }
 
-/// The value of a field in a request's query.
-fn query(target: &str, name: &str) -> Option<u64> {
-    let (_, fields) = target.split_once('?')?;
-    let mut fields = fields.split('&').filter_map(|f| f.split_once('='));
-    fields.find(|(n, _)| *n == name)?.1.parse().ok()
+/// The number in a field of a request's query.
+fn query_number(target: &str, name: &str) -> Option<u64> {
+    let (_, query) = target.split_once('?')?;
+    let mut fields = query.split('&').filter_map(|field| field.split_once('='));
+    fields.find(|(field_name, _)| *field_name == name)?.1.parse().ok()
 }
 
 impl Service for ListService {
-    fn request(&mut self, from: Connection, at: SocketAddr, request: Request, actions: &mut ServerActions) {
-        let sender = self.senders.get(&at).copied().unwrap_or_default();
+    fn on_request(
+        &mut self, connection: ConnectionId, address: SocketAddr, request: Request,
+        actions: &mut ServerActions,
+    ) {
+        let sender = self.senders.get(&address).copied().unwrap_or_default();
         if request.method == "POST" && request.target == "/v1/outcomes" {
             self.traffic.entry(sender).or_default().notice_calls += 1;
-            let status = if self.notice(&request.body) { 204 } else { 400 };
-            return actions.send(from, answer(status, "", ""));
+            let status = if self.record_notices(&request.body) { 204 } else { 400 };
+            return actions.send(connection, response(status, "", ""));
         }
         if self.silent {
             return;
         }
         let traffic = self.traffic.entry(sender).or_default();
         traffic.list_calls += 1;
-        let Some(since) = query(&request.target, "since") else {
-            let bytes = self.whole();
-            return self.write(sender, from, bytes, actions);
+        let Some(since_version) = query_number(&request.target, "since") else {
+            let bytes = self.full_list();
+            return self.send_list(sender, connection, bytes, actions);
         };
-        self.has(sender, since);
-        if since < self.seq {
-            let bytes = self.changes_since(since);
-            return self.write(sender, from, bytes, actions);
+        self.record_applied(sender, since_version);
+        if since_version < self.version {
+            let bytes = self.changes_since(since_version);
+            return self.send_list(sender, connection, bytes, actions);
         }
-        let until = Instant::now() + Duration::from_millis(query(&request.target, "timeout_ms").unwrap_or(0));
-        self.watches.insert(from, Watch { sender, since, until });
-        actions.wake_at(until);
+        let deadline =
+            Instant::now() + Duration::from_millis(query_number(&request.target, "timeout_ms").unwrap_or(0));
+        self.watches.insert(connection, Watch { sender, since_version, deadline });
+        actions.wake_at(deadline);
     }
 
-    fn closed(&mut self, connection: Connection) {
+    fn on_connection_closed(&mut self, connection: ConnectionId) {
         self.watches.remove(&connection);
     }
 
-    /// Watches whose time is over are answered with nothing new.
-    fn woken(&mut self, actions: &mut ServerActions) {
+    /// Answers the watches whose deadline has passed with an update without entries.
+    fn on_wake(&mut self, actions: &mut ServerActions) {
         let now = Instant::now();
-        for (connection, watch) in self.watches.extract_if(|_, w| w.until <= now).collect::<Vec<_>>() {
-            let bytes = self.changes_since(watch.since);
-            self.write(watch.sender, connection, bytes, actions);
+        for (connection, watch) in
+            self.watches.extract_if(|_, watch| watch.deadline <= now).collect::<Vec<_>>()
+        {
+            let bytes = self.changes_since(watch.since_version);
+            self.send_list(watch.sender, connection, bytes, actions);
         }
     }
 }
--- a/crates/scale/src/standins/mod.rs
+++ b/crates/scale/src/standins/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for those that a sender speaks to: the platform's list service, the destinations' receivers and the
-//! clients; and the judge of the rules, which sees only what these record.
+//! Stand-ins for the parties that a sender talks to: the platform's list service, the receivers of the
+//! destinations, and the clients; and a judge that checks what these recorded against the delivery rules.
 
 pub mod clients;
 pub mod id;
--- a/crates/scale/src/standins/receivers.rs
+++ b/crates/scale/src/standins/receivers.rs
@@ -1,219 +1,248 @@
-//! The destinations' receivers: they answer calls as they are told to and tell the judge what they see.
+//! The receivers of all destinations. They answer each call as the run tells them to, and report what they
+//! see to the judge.
 
 use super::id::WebhookId;
 use super::judge::{CallOutcome, EndpointLocation, Judge};
-use super::message::{Request, answer};
-use super::server::{Connection, ServerActions, Service};
+use super::message::{Request, response};
+use super::server::{ConnectionId, ServerActions, Service};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The judge as clients, receivers and list service share it, with the clock of the run.
+/// The judge of a run, as clients, receivers and the list service share it, with the run's clock.
 #[derive(Clone)]
 pub struct SharedJudge {
     judge: Arc<Mutex<Judge>>,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl SharedJudge {
+    /// Shares a judge and starts the run's clock.
     pub fn new(judge: Judge) -> Self {
-        SharedJudge { judge: Arc::new(Mutex::new(judge)), began: Instant::now() }
+        SharedJudge { judge: Arc::new(Mutex::new(judge)), started_at: Instant::now() }
     }
 
     /// Seconds since the run began.
     pub fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64()
+        self.started_at.elapsed().as_secs_f64()
     }
 
-    /// Tells the judge something that happened now.
-    pub fn with<T>(&self, what: impl FnOnce(&mut Judge, f64) -> T) -> T {
+    /// Runs a task on the judge; the task also gets the seconds since the run began.
+    pub fn with<T>(&self, task: impl FnOnce(&mut Judge, f64) -> T) -> T {
         let mut judge = self.judge.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.now();
-        what(&mut judge, now)
+        task(&mut judge, now)
     }
 }
 
-/// How a destination answers.
+/// How a receiver answers a call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Behaviour {
-    /// With 200, after so long.
+    /// With 200, after this time.
     Serve(Duration),
     /// With 503.
     Refuse,
-    /// With 429 and a wait of so many seconds.
+    /// With 429 and a Retry-After of this many seconds.
     RetryAfter(f64),
     /// With 500.
     Fail,
-    /// Not at all.
+    /// Not at all; the connection stays open.
     Silent,
-    /// The connection ends without an answer.
+    /// Not at all; the connection is closed.
     HangUp,
-    /// With 200, and then the connection ends, though it was to be kept.
+    /// With 200, and then closes the connection, though it was to be kept alive.
     ServeAndClose,
-    /// With the first half of an error's first line, and then the connection ends.
+    /// With the first part of the status line of an error, and then closes the connection.
     PartialAnswer,
-    /// With what is no answer.
+    /// With bytes that are not an HTTP response.
     MalformedAnswer,
 }
 
-/// What becomes of answers on their way to the sender.
+/// Whether the answers of an endpoint reach the sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum AnswerPath {
-    /// They arrive.
+    /// They do.
     #[default]
     Intact,
-    /// They may arrive or not.
+    /// It is not known whether they do.
     Uncertain,
-    /// They do not arrive.
+    /// They do not.
     Broken,
 }
 
-/// What is known of an endpoint by its address.
-struct EndpointRole {
-    place: EndpointLocation,
+/// What is known of the endpoint at one address.
+struct EndpointState {
+    location: EndpointLocation,
     behaviour: Option<Behaviour>,
-    way: AnswerPath,
+    answer_path: AnswerPath,
 }
 
-/// What a connection carries.
-struct Carried {
+/// The last call of a connection.
+struct LastCall {
     id: WebhookId,
-    out: bool,
-    at: SocketAddr,
+    in_flight: bool,
+    address: SocketAddr,
 }
 
-/// All receivers of a run. A call's destination is known by the webhook's id.
+/// All receivers of a run. The destination of a call is known from the webhook's id.
 pub struct Receivers {
-    record: SharedJudge,
-    usual: Behaviour,
-    apart: HashMap<u32, Behaviour>,
-    endpoints: HashMap<SocketAddr, EndpointRole>,
-    carried: HashMap<Connection, Carried>,
-    calls: u64,
-    calls_to: HashMap<u32, u64>,
+    judge: SharedJudge,
+    default_behaviour: Behaviour,
+    destination_behaviours: HashMap<u32, Behaviour>,
+    endpoints: HashMap<SocketAddr, EndpointState>,
+    last_calls: HashMap<ConnectionId, LastCall>,
+    call_count: u64,
+    call_counts: HashMap<u32, u64>,
 }
 
 impl Receivers {
-    pub fn new(record: SharedJudge, usual: Behaviour) -> Self {
-        let (apart, carried, calls_to) = (HashMap::new(), HashMap::new(), HashMap::new());
-        Receivers { record, usual, apart, endpoints: HashMap::new(), carried, calls: 0, calls_to }
+    /// Receivers that all answer in the same way.
+    pub fn new(judge: SharedJudge, default_behaviour: Behaviour) -> Self {
+        let (destination_behaviours, last_calls, call_counts) =
+            (HashMap::new(), HashMap::new(), HashMap::new());
+        Receivers {
+            judge,
+            default_behaviour,
+            destination_behaviours,
+            endpoints: HashMap::new(),
+            last_calls,
+            call_count: 0,
+            call_counts,
+        }
     }
 
-    /// Tells which endpoint is at an address; elsewhere all are one.
-    pub fn set_endpoint(&mut self, at: SocketAddr, place: EndpointLocation) {
-        self.endpoints.insert(at, EndpointRole { place, behaviour: None, way: AnswerPath::Intact });
+    /// Sets which endpoint is at an address. Addresses that are not set count as one and the same endpoint.
+    pub fn set_endpoint(&mut self, address: SocketAddr, location: EndpointLocation) {
+        self.endpoints
+            .insert(address, EndpointState { location, behaviour: None, answer_path: AnswerPath::Intact });
     }
 
-    /// What the endpoint at an address does while its destination is told nothing; `None` for what all do.
-    pub fn set_endpoint_behaviour(&mut self, at: SocketAddr, behaviour: Option<Behaviour>) {
-        if let Some(role) = self.endpoints.get_mut(&at) {
-            role.behaviour = behaviour;
+    /// Sets how the endpoint at an address answers, unless its destination has a behaviour of its own. `None`
+    /// returns to the default.
+    pub fn set_endpoint_behaviour(&mut self, address: SocketAddr, behaviour: Option<Behaviour>) {
+        if let Some(endpoint) = self.endpoints.get_mut(&address) {
+            endpoint.behaviour = behaviour;
         }
     }
 
-    /// What becomes of the answers of the endpoint at an address.
-    pub fn set_answer_path(&mut self, at: SocketAddr, way: AnswerPath) {
-        if let Some(role) = self.endpoints.get_mut(&at) {
-            role.way = way;
+    /// Sets whether the answers of the endpoint at an address reach the sender.
+    pub fn set_answer_path(&mut self, address: SocketAddr, answer_path: AnswerPath) {
+        if let Some(endpoint) = self.endpoints.get_mut(&address) {
+            endpoint.answer_path = answer_path;
         }
     }
 
-    /// What all destinations do that are not told otherwise.
+    /// Sets how all receivers answer that have no behaviour of their own.
     pub fn set_default_behaviour(&mut self, behaviour: Behaviour) {
-        self.usual = behaviour;
+        self.default_behaviour = behaviour;
     }
 
-    /// What one destination does; `None` for what all do.
-    pub fn set_destination_behaviour(&mut self, dest: u32, behaviour: Option<Behaviour>) {
+    /// Sets how all receivers of one destination answer. `None` returns to those of its endpoints or to the
+    /// default.
+    pub fn set_destination_behaviour(&mut self, destination: u32, behaviour: Option<Behaviour>) {
         match behaviour {
-            Some(behaviour) => self.apart.insert(dest, behaviour),
-            None => self.apart.remove(&dest),
+            Some(behaviour) => self.destination_behaviours.insert(destination, behaviour),
+            None => self.destination_behaviours.remove(&destination),
         };
     }
 
-    /// A destination that takes `rate` calls a second goes out, and does this from now on.
-    pub fn begin_outage(&mut self, dest: u32, behaviour: Behaviour, rate: f64) {
-        self.set_destination_behaviour(dest, Some(behaviour));
-        self.record.with(|judge, now| judge.record_outage_start(dest, now, rate));
+    /// Begins an outage, in which the destination answers by this behaviour. It takes `calls_per_sec` when it
+    /// is well.
+    pub fn begin_outage(&mut self, destination: u32, behaviour: Behaviour, calls_per_sec: f64) {
+        self.set_destination_behaviour(destination, Some(behaviour));
+        self.judge.with(|judge, now| judge.record_outage_start(destination, now, calls_per_sec));
     }
 
-    pub fn end_outage(&mut self, dest: u32) {
-        self.set_destination_behaviour(dest, None);
-        self.record.with(|judge, now| judge.record_outage_end(dest, now));
+    /// Ends the outage of a destination.
+    pub fn end_outage(&mut self, destination: u32) {
+        self.set_destination_behaviour(destination, None);
+        self.judge.with(|judge, now| judge.record_outage_end(destination, now));
     }
 
-    /// Calls that came, in all.
+    /// Calls that arrived, in all.
     pub fn call_count(&self) -> u64 {
-        self.calls
+        self.call_count
     }
 
-    /// Calls that came to one destination.
-    pub fn call_count_to(&self, dest: u32) -> u64 {
-        self.calls_to.get(&dest).copied().unwrap_or(0)
+    /// Calls that arrived for one destination.
+    pub fn call_count_to(&self, destination: u32) -> u64 {
+        self.call_counts.get(&destination).copied().unwrap_or(0)
     }
 
-    fn end(&mut self, from: Connection, end: CallOutcome) {
-        let Some(carried) = self.carried.get_mut(&from).filter(|c| c.out) else { return };
-        carried.out = false;
-        let (id, at) = (carried.id, carried.at);
-        let end = match self.endpoints.get(&at).map(|role| role.way).unwrap_or_default() {
-            AnswerPath::Intact => end,
-            AnswerPath::Uncertain if end == CallOutcome::Delivered => CallOutcome::Uncertain,
-            AnswerPath::Uncertain | AnswerPath::Broken => CallOutcome::Failed,
-        };
-        self.record.with(|judge, now| judge.record_answer(id, now, end));
+    /// Reports the outcome of the connection's call to the judge, if it is still in flight.
+    fn end_call(&mut self, connection: ConnectionId, outcome: CallOutcome) {
+        let Some(call) = self.last_calls.get_mut(&connection).filter(|call| call.in_flight) else { return };
+        call.in_flight = false;
+        let (id, address) = (call.id, call.address);
+        let outcome =
+            match self.endpoints.get(&address).map(|endpoint| endpoint.answer_path).unwrap_or_default() {
+                AnswerPath::Intact => outcome,
+                AnswerPath::Uncertain if outcome == CallOutcome::Delivered => CallOutcome::Uncertain,
+                AnswerPath::Uncertain | AnswerPath::Broken => CallOutcome::Failed,
+            };
+        self.judge.with(|judge, now| judge.record_answer(id, now, outcome));
     }
 }
 
 impl Service for Receivers {
-    fn request(&mut self, from: Connection, at: SocketAddr, request: Request, actions: &mut ServerActions) {
+    fn on_request(
+        &mut self, connection: ConnectionId, address: SocketAddr, request: Request,
+        actions: &mut ServerActions,
+    ) {
         let id = request.header("req-id").and_then(|id| id.parse::<WebhookId>().ok());
         let Some(id) = id.filter(|_| request.method == "POST" && request.target == "/inbox") else {
-            return actions.send(from, answer(400, "", ""));
+            return actions.send(connection, response(400, "", ""));
         };
-        self.calls += 1;
-        *self.calls_to.entry(id.destination).or_default() += 1;
-        let role = self.endpoints.get(&at);
-        let (place, own) =
-            role.map_or((EndpointLocation::default(), None), |role| (role.place, role.behaviour));
-        self.record.with(|judge, now| judge.record_call(id, place, now));
-        self.carried.insert(from, Carried { id, out: true, at });
-        let (bytes, end) = match self.apart.get(&id.destination).copied().or(own).unwrap_or(self.usual) {
-            Behaviour::Serve(pause) if !pause.is_zero() => {
-                return actions.send_at(Instant::now() + pause, from, answer(200, "", ""));
-            }
-            Behaviour::Serve(_) => (answer(200, "", ""), CallOutcome::Delivered),
-            Behaviour::Refuse => (answer(503, "", ""), CallOutcome::Refused(0.0)),
-            Behaviour::RetryAfter(wait) => {
-                (answer(429, &format!("Retry-After: {wait:.3}\r\n"), ""), CallOutcome::Refused(wait))
+        self.call_count += 1;
+        *self.call_counts.entry(id.destination).or_default() += 1;
+        let endpoint = self.endpoints.get(&address);
+        let (location, endpoint_behaviour) = endpoint
+            .map_or((EndpointLocation::default(), None), |endpoint| (endpoint.location, endpoint.behaviour));
+        self.judge.with(|judge, now| judge.record_call(id, location, now));
+        self.last_calls.insert(connection, LastCall { id, in_flight: true, address });
+        let (bytes, outcome) = match self
+            .destination_behaviours
+            .get(&id.destination)
+            .copied()
+            .or(endpoint_behaviour)
+            .unwrap_or(self.default_behaviour)
+        {
+            Behaviour::Serve(delay) if !delay.is_zero() => {
+                return actions.send_at(Instant::now() + delay, connection, response(200, "", ""));
             }
-            Behaviour::Fail => (answer(500, "", ""), CallOutcome::Failed),
+            Behaviour::Serve(_) => (response(200, "", ""), CallOutcome::Delivered),
+            Behaviour::Refuse => (response(503, "", ""), CallOutcome::Refused(0.0)),
+            Behaviour::RetryAfter(wait_secs) => (
+                response(429, &format!("Retry-After: {wait_secs:.3}\r\n"), ""),
+                CallOutcome::Refused(wait_secs),
+            ),
+            Behaviour::Fail => (response(500, "", ""), CallOutcome::Failed),
             Behaviour::Silent => return,
-            Behaviour::HangUp => return actions.end(from),
+            Behaviour::HangUp => return actions.close(connection),
             Behaviour::ServeAndClose => {
-                self.end(from, CallOutcome::Delivered);
-                actions.send(from, answer(200, "", ""));
-                return actions.end(from);
+                self.end_call(connection, CallOutcome::Delivered);
+                actions.send(connection, response(200, "", ""));
+                return actions.close(connection);
             }
             Behaviour::PartialAnswer => {
-                self.end(from, CallOutcome::Failed);
-                actions.send(from, b"HTTP/1.1 5".to_vec());
-                return actions.end(from);
+                self.end_call(connection, CallOutcome::Failed);
+                actions.send(connection, b"HTTP/1.1 5".to_vec());
+                return actions.close(connection);
             }
             Behaviour::MalformedAnswer => (b"\x00\xffno answer\r\n\r\n".to_vec(), CallOutcome::Failed),
         };
-        self.end(from, end);
-        actions.send(from, bytes);
+        self.end_call(connection, outcome);
+        actions.send(connection, bytes);
     }
 
-    fn answered(&mut self, to: Connection) {
-        self.end(to, CallOutcome::Delivered);
+    fn on_delayed_send(&mut self, connection: ConnectionId) {
+        self.end_call(connection, CallOutcome::Delivered);
     }
 
-    fn closed(&mut self, connection: Connection) {
-        if let Some(carried) = self.carried.remove(&connection) {
-            self.record.with(|judge, now| judge.record_connection_end(carried.id, now));
+    fn on_connection_closed(&mut self, connection: ConnectionId) {
+        if let Some(call) = self.last_calls.remove(&connection) {
+            self.judge.with(|judge, now| judge.record_connection_end(call.id, now));
         }
     }
 }
--- a/crates/scale/src/standins/server.rs
+++ b/crates/scale/src/standins/server.rs
@@ -1,6 +1,7 @@
-//! A server on loopback in a thread of its own: it reads requests, hands them to a service and writes its answers.
+//! A server on loopback that runs in a thread of its own: it reads HTTP requests, passes them to a service,
+//! and carries out what the service asks for.
 
-use super::message::{Request, answer};
+use super::message::{Request, response};
 use mio::event::Event;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
@@ -13,67 +14,72 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-const WAKE: Token = Token(0);
-const READ_STEP: usize = 64 * 1024;
-/// Listeners take the tokens below this number, connections those from it on.
-const FIRST_CONNECTION: usize = 10_000;
+/// The poll token of the waker.
+const WAKER_TOKEN: Token = Token(0);
+/// Bytes that one read takes from a connection at most.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Listeners have poll tokens below this number, connections have tokens from it on.
+const FIRST_CONNECTION_TOKEN: usize = 10_000;
 
-/// A connection, by a number that is not used again.
+/// The id of a connection. It is not used again for another connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Connection(usize);
+pub struct ConnectionId(usize);
 
-/// What a service does with requests. It runs in the server's thread and must not wait.
+/// What a server does with requests. All methods run in the server's thread and must not block.
 pub trait Service: Send + 'static {
-    /// A request has come whole, over a connection to the address `at`.
-    fn request(&mut self, from: Connection, at: SocketAddr, request: Request, actions: &mut ServerActions);
-    /// A connection has ended, by either side.
-    fn closed(&mut self, _connection: Connection) {}
-    /// The time that an earlier `actions.wake_at` named has come.
-    fn woken(&mut self, _replies: &mut ServerActions) {}
-    /// An answer that was due later goes out now.
-    fn answered(&mut self, _to: Connection) {}
+    /// A complete request has arrived over a connection that was opened to `address`.
+    fn on_request(
+        &mut self, connection: ConnectionId, address: SocketAddr, request: Request,
+        actions: &mut ServerActions,
+    );
+    /// A connection was closed, by either side.
+    fn on_connection_closed(&mut self, _connection: ConnectionId) {}
+    /// A time that the service set with `wake_at` has come.
+    fn on_wake(&mut self, _actions: &mut ServerActions) {}
+    /// Bytes that the service scheduled with `send_at` are about to be written.
+    fn on_delayed_send(&mut self, _connection: ConnectionId) {}
 }
 
 /// What a service asks its server to do.
 #[derive(Default)]
 pub struct ServerActions {
-    now: Vec<(Connection, Vec<u8>)>,
-    later: Vec<(Instant, Connection, Vec<u8>)>,
-    wakes: Vec<Instant>,
-    ends: Vec<Connection>,
-    opens: Vec<SocketAddr>,
-    shuts: Vec<SocketAddr>,
+    immediate_sends: Vec<(ConnectionId, Vec<u8>)>,
+    delayed_sends: Vec<(Instant, ConnectionId, Vec<u8>)>,
+    wake_times: Vec<Instant>,
+    connections_to_close: Vec<ConnectionId>,
+    listeners_to_open: Vec<SocketAddr>,
+    listeners_to_close: Vec<SocketAddr>,
 }
 
 impl ServerActions {
-    /// Writes bytes at once.
-    pub fn send(&mut self, to: Connection, bytes: Vec<u8>) {
-        self.now.push((to, bytes));
+    /// Writes bytes to a connection at once.
+    pub fn send(&mut self, connection: ConnectionId, bytes: Vec<u8>) {
+        self.immediate_sends.push((connection, bytes));
     }
 
-    /// Writes bytes at a time, and tells the service so.
-    pub fn send_at(&mut self, at: Instant, to: Connection, bytes: Vec<u8>) {
-        self.later.push((at, to, bytes));
+    /// Writes bytes to a connection at a later time, when `on_delayed_send` is called as well.
+    pub fn send_at(&mut self, send_at: Instant, connection: ConnectionId, bytes: Vec<u8>) {
+        self.delayed_sends.push((send_at, connection, bytes));
     }
 
-    /// Calls `woken` at a time.
-    pub fn wake_at(&mut self, at: Instant) {
-        self.wakes.push(at);
+    /// Calls `on_wake` at a later time.
+    pub fn wake_at(&mut self, wake_at: Instant) {
+        self.wake_times.push(wake_at);
     }
 
-    /// Ends a connection.
-    pub fn end(&mut self, connection: Connection) {
-        self.ends.push(connection);
+    /// Closes a connection.
+    pub fn close(&mut self, connection: ConnectionId) {
+        self.connections_to_close.push(connection);
     }
 
     /// Listens at an address again.
-    pub fn open_listener(&mut self, at: SocketAddr) {
-        self.opens.push(at);
+    pub fn open_listener(&mut self, address: SocketAddr) {
+        self.listeners_to_open.push(address);
     }
 
-    /// Ends the listener at an address with all its connections: from now on connecting there is refused.
-    pub fn close_listener(&mut self, at: SocketAddr) {
-        self.shuts.push(at);
+    /// Closes the listener at an address with all its connections: from now on connections to it are refused.
+    pub fn close_listener(&mut self, address: SocketAddr) {
+        self.listeners_to_close.push(address);
     }
 }
 
@@ -81,10 +87,10 @@
 
 enum Command<S> {
     Run(Task<S>),
-    End,
+    Stop,
 }
 
-/// A running server. It ends when this is dropped.
+/// A running server. It stops when this is dropped.
 pub struct Server<S: Service> {
     commands: Sender<Command<S>>,
     waker: Arc<Waker>,
@@ -92,49 +98,50 @@
 }
 
 impl<S: Service> Server<S> {
-    /// Listens at the addresses and serves there.
+    /// Starts a server that listens at these addresses.
     pub fn start(addresses: &[SocketAddr], service: S) -> io::Result<Self> {
         let poll = Poll::new()?;
-        let waker = Arc::new(Waker::new(poll.registry(), WAKE)?);
-        let (commands, taken) = channel();
-        let mut work = Loop {
+        let waker = Arc::new(Waker::new(poll.registry(), WAKER_TOKEN)?);
+        let (commands, command_receiver) = channel();
+        let mut event_loop = EventLoop {
             poll,
             service,
-            commands: taken,
+            commands: command_receiver,
             listeners: HashMap::new(),
-            links: HashMap::new(),
-            next_listener: 1,
-            next_link: FIRST_CONNECTION,
-            timers: BinaryHeap::new(),
-            due: HashMap::new(),
-            next_timer: 0,
+            connections: HashMap::new(),
+            next_listener_token: 1,
+            next_connection_token: FIRST_CONNECTION_TOKEN,
+            timer_queue: BinaryHeap::new(),
+            timers: HashMap::new(),
+            next_timer_id: 0,
         };
         for address in addresses {
-            work.listen(*address)?;
+            event_loop.listen(*address)?;
         }
-        let thread = std::thread::Builder::new().name("stand-in".into()).spawn(move || work.run())?;
+        let thread = std::thread::Builder::new().name("stand-in".into()).spawn(move || event_loop.run())?;
         Ok(Server { commands, waker, thread: Some(thread) })
     }
 
-    /// Runs a task on the service in the server's thread and waits for what it returns.
+    /// Runs a task on the service in the server's thread and waits for its result. `None` if the server has
+    /// stopped.
     pub fn with_service<T: Send + 'static>(
         &self, task: impl FnOnce(&mut S, &mut ServerActions) -> T + Send + 'static,
     ) -> Option<T> {
-        let (tell, told) = channel();
+        let (result_sender, result_receiver) = channel();
         let task: Task<S> = Box::new(move |service, actions| {
-            // Nobody waits any more where the caller has gone.
-            let _ = tell.send(task(service, actions));
+            // If the caller is gone, nobody waits for the result.
+            let _ = result_sender.send(task(service, actions));
         });
         self.commands.send(Command::Run(task)).ok()?;
         self.waker.wake().ok()?;
-        told.recv().ok()
+        result_receiver.recv().ok()
     }
 }
 
 impl<S: Service> Drop for Server<S> {
     fn drop(&mut self) {
-        // A thread that has ended already takes nothing.
-        let _ = self.commands.send(Command::End);
+        // If the thread has stopped already, nobody receives the command.
+        let _ = self.commands.send(Command::Stop);
         let _ = self.waker.wake();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -142,143 +149,168 @@
     }
 }
 
-struct Link {
+struct Connection {
     stream: TcpStream,
+    /// The token of the listener that accepted it.
     listener: usize,
-    at: SocketAddr,
-    read: Vec<u8>,
-    write: VecDeque<u8>,
+    /// The address of that listener.
+    address: SocketAddr,
+    /// Bytes read that are not a complete request yet.
+    read_buffer: Vec<u8>,
+    /// Bytes that are still to be written.
+    write_buffer: VecDeque<u8>,
 }
 
 enum Timer {
-    Send(Connection, Vec<u8>),
+    Send(ConnectionId, Vec<u8>),
     Wake,
 }
 
-struct Loop<S> {
+struct EventLoop<S> {
     poll: Poll,
     service: S,
     commands: Receiver<Command<S>>,
+    /// By poll token.
     listeners: HashMap<usize, (SocketAddr, TcpListener)>,
-    links: HashMap<usize, Link>,
-    next_listener: usize,
-    next_link: usize,
-    timers: BinaryHeap<Reverse<(Instant, u64)>>,
-    due: HashMap<u64, Timer>,
-    next_timer: u64,
+    /// By poll token, which is the connection's id.
+    connections: HashMap<usize, Connection>,
+    next_listener_token: usize,
+    next_connection_token: usize,
+    /// The timers' times and ids, the next one first.
+    timer_queue: BinaryHeap<Reverse<(Instant, u64)>>,
+    /// What to do, by timer id.
+    timers: HashMap<u64, Timer>,
+    next_timer_id: u64,
 }
 
-impl<S: Service> Loop<S> {
+impl<S: Service> EventLoop<S> {
     fn run(&mut self) {
         let mut events = Events::with_capacity(1024);
-        let mut scratch = vec![0; READ_STEP];
+        let mut read_buffer = vec![0; READ_BUFFER_BYTES];
         loop {
-            let next =
-                self.timers.peek().map(|Reverse((at, _))| at.saturating_duration_since(Instant::now()));
-            // Rounded up to whole milliseconds by the system call; a little too late is near enough here.
-            match self.poll.poll(&mut events, next.map(|wait| wait + Duration::from_micros(1))) {
-                Err(e) if e.kind() != ErrorKind::Interrupted => return,
+            let timeout = self
+                .timer_queue
+                .peek()
+                .map(|Reverse((timer_at, _))| timer_at.saturating_duration_since(Instant::now()));
+            // The system call rounds the timeout to whole milliseconds; being a little late is accurate
+            // enough here.
+            match self.poll.poll(&mut events, timeout.map(|timeout| timeout + Duration::from_micros(1))) {
+                Err(error) if error.kind() != ErrorKind::Interrupted => return,
                 _ => {}
             }
             for event in &events {
-                self.event(event, &mut scratch);
+                self.handle_event(event, &mut read_buffer);
             }
             let mut actions = ServerActions::default();
             while let Ok(command) = self.commands.try_recv() {
                 match command {
                     Command::Run(task) => task(&mut self.service, &mut actions),
-                    Command::End => return,
+                    Command::Stop => return,
                 }
             }
-            self.timers_due(&mut actions);
+            self.run_due_timers(&mut actions);
             self.apply(actions);
         }
     }
 
-    fn event(&mut self, event: &Event, scratch: &mut [u8]) {
+    fn handle_event(&mut self, event: &Event, read_buffer: &mut [u8]) {
         match event.token() {
-            WAKE => {}
-            Token(number) if number < FIRST_CONNECTION => self.accept(number),
-            Token(number) => {
+            WAKER_TOKEN => {}
+            Token(token) if token < FIRST_CONNECTION_TOKEN => self.accept(token),
+            Token(token) => {
                 if event.is_writable() {
-                    self.flush(number);
+                    self.flush(token);
                 }
                 if event.is_readable() {
-                    self.read(number, scratch);
+                    self.read(token, read_buffer);
                 }
             }
         }
     }
 
-    fn listen(&mut self, at: SocketAddr) -> io::Result<()> {
-        let mut listener = TcpListener::bind(at)?;
-        let number = self.next_listener;
-        self.next_listener += 1;
-        self.poll.registry().register(&mut listener, Token(number), Interest::READABLE)?;
-        self.listeners.insert(number, (at, listener));
+    fn listen(&mut self, address: SocketAddr) -> io::Result<()> {
+        let mut listener = TcpListener::bind(address)?;
+        let token = self.next_listener_token;
+        self.next_listener_token += 1;
+        self.poll.registry().register(&mut listener, Token(token), Interest::READABLE)?;
+        self.listeners.insert(token, (address, listener));
         Ok(())
     }
 
-    fn shut(&mut self, at: SocketAddr) {
-        let Some(number) = self.listeners.iter().find(|(_, l)| l.0 == at).map(|(number, _)| *number) else {
+    fn close_listener(&mut self, address: SocketAddr) {
+        let Some(listener_token) =
+            self.listeners.iter().find(|(_, listener)| listener.0 == address).map(|(token, _)| *token)
+        else {
             return;
         };
-        self.listeners.remove(&number);
-        let own: Vec<usize> =
-            self.links.iter().filter(|(_, l)| l.listener == number).map(|(link, _)| *link).collect();
-        for link in own {
-            self.close(link);
+        self.listeners.remove(&listener_token);
+        let accepted: Vec<usize> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| connection.listener == listener_token)
+            .map(|(token, _)| *token)
+            .collect();
+        for token in accepted {
+            self.close(token);
         }
     }
 
     fn accept(&mut self, listener: usize) {
-        while let Some((at, from)) = self.listeners.get(&listener)
-            && let Ok((mut stream, _)) = from.accept()
+        while let Some((address, tcp_listener)) = self.listeners.get(&listener)
+            && let Ok((mut stream, _)) = tcp_listener.accept()
         {
-            let (at, number) = (*at, self.next_link);
-            self.next_link += 1;
+            let (address, token) = (*address, self.next_connection_token);
+            self.next_connection_token += 1;
             let interest = Interest::READABLE | Interest::WRITABLE;
-            // Small answers must not be held back.
+            // Without this, small answers would be delayed.
             let ready = stream
                 .set_nodelay(true)
-                .and_then(|()| self.poll.registry().register(&mut stream, Token(number), interest));
+                .and_then(|()| self.poll.registry().register(&mut stream, Token(token), interest));
             if ready.is_ok() {
-                self.links
-                    .insert(number, Link { stream, listener, at, read: Vec::new(), write: VecDeque::new() });
+                self.connections.insert(
+                    token,
+                    Connection {
+                        stream,
+                        listener,
+                        address,
+                        read_buffer: Vec::new(),
+                        write_buffer: VecDeque::new(),
+                    },
+                );
             }
         }
     }
 
-    fn read(&mut self, number: usize, scratch: &mut [u8]) {
+    fn read(&mut self, token: usize, read_buffer: &mut [u8]) {
         loop {
-            let Some(link) = self.links.get_mut(&number) else { return };
-            match link.stream.read(scratch) {
-                Ok(0) => return self.close(number),
-                Ok(count) => link.read.extend_from_slice(&scratch[..count]),
-                Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                Err(_) => return self.close(number),
+            let Some(connection) = self.connections.get_mut(&token) else { return };
+            match connection.stream.read(read_buffer) {
+                Ok(0) => return self.close(token),
+                Ok(count) => connection.read_buffer.extend_from_slice(&read_buffer[..count]),
+                Err(error) if error.kind() == ErrorKind::Interrupted => continue,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
+                Err(_) => return self.close(token),
             }
-            if !self.serve(number) {
-                return self.close(number);
+            if !self.serve(token) {
+                return self.close(token);
             }
         }
     }
 
-    /// Hands on what has come whole; false where it is no request.
-    fn serve(&mut self, number: usize) -> bool {
-        while let Some(link) = self.links.get_mut(&number) {
-            let at = link.at;
-            match Request::take(&mut link.read) {
+    /// Passes all complete requests of a connection to the service; false if its bytes are not a request.
+    fn serve(&mut self, token: usize) -> bool {
+        while let Some(connection) = self.connections.get_mut(&token) {
+            let address = connection.address;
+            match Request::take(&mut connection.read_buffer) {
                 Ok(Some(request)) => {
                     let mut actions = ServerActions::default();
-                    self.service.request(Connection(number), at, request, &mut actions);
+                    self.service.on_request(ConnectionId(token), address, request, &mut actions);
                     self.apply(actions);
                 }
                 Ok(None) => return true,
                 Err(_) => {
-                    link.write.extend(answer(400, "", ""));
-                    self.flush(number);
+                    connection.write_buffer.extend(response(400, "", ""));
+                    self.flush(token);
                     return false;
                 }
             }
@@ -287,65 +319,68 @@
     }
 
     fn apply(&mut self, actions: ServerActions) {
-        for (Connection(number), bytes) in actions.now {
-            if let Some(link) = self.links.get_mut(&number) {
-                link.write.extend(bytes);
-                self.flush(number);
+        for (ConnectionId(token), bytes) in actions.immediate_sends {
+            if let Some(connection) = self.connections.get_mut(&token) {
+                connection.write_buffer.extend(bytes);
+                self.flush(token);
             }
         }
-        let sends = actions.later.into_iter().map(|(at, to, bytes)| (at, Timer::Send(to, bytes)));
-        let wakes = actions.wakes.into_iter().map(|at| (at, Timer::Wake));
-        for (at, timer) in sends.chain(wakes) {
-            self.timers.push(Reverse((at, self.next_timer)));
-            self.due.insert(self.next_timer, timer);
-            self.next_timer += 1;
+        let sends = actions
+            .delayed_sends
+            .into_iter()
+            .map(|(send_at, connection, bytes)| (send_at, Timer::Send(connection, bytes)));
+        let wakes = actions.wake_times.into_iter().map(|wake_at| (wake_at, Timer::Wake));
+        for (timer_at, timer) in sends.chain(wakes) {
+            self.timer_queue.push(Reverse((timer_at, self.next_timer_id)));
+            self.timers.insert(self.next_timer_id, timer);
+            self.next_timer_id += 1;
         }
-        for Connection(number) in actions.ends {
-            self.close(number);
+        for ConnectionId(token) in actions.connections_to_close {
+            self.close(token);
         }
-        for at in actions.shuts {
-            self.shut(at);
+        for address in actions.listeners_to_close {
+            self.close_listener(address);
         }
-        for at in actions.opens {
-            if let Err(e) = self.listen(at) {
-                tracing::error!(%at, %e, "a stand-in cannot listen again");
+        for address in actions.listeners_to_open {
+            if let Err(error) = self.listen(address) {
+                tracing::error!(at = %address, e = %error, "a stand-in cannot listen at its address again");
             }
         }
     }
 
-    fn timers_due(&mut self, actions: &mut ServerActions) {
+    fn run_due_timers(&mut self, actions: &mut ServerActions) {
         let now = Instant::now();
-        while let Some(Reverse((at, timer))) = self.timers.peek().copied()
-            && at <= now
+        while let Some(Reverse((timer_at, timer_id))) = self.timer_queue.peek().copied()
+            && timer_at <= now
         {
-            self.timers.pop();
-            match self.due.remove(&timer) {
-                Some(Timer::Send(to, bytes)) if self.links.contains_key(&to.0) => {
-                    self.service.answered(to);
-                    actions.send(to, bytes);
+            self.timer_queue.pop();
+            match self.timers.remove(&timer_id) {
+                Some(Timer::Send(connection, bytes)) if self.connections.contains_key(&connection.0) => {
+                    self.service.on_delayed_send(connection);
+                    actions.send(connection, bytes);
                 }
-                Some(Timer::Wake) => self.service.woken(actions),
+                Some(Timer::Wake) => self.service.on_wake(actions),
                 _ => {}
             }
         }
     }
 
-    fn flush(&mut self, number: usize) {
-        let Some(link) = self.links.get_mut(&number) else { return };
-        while !link.write.is_empty() {
-            match link.stream.write(link.write.as_slices().0) {
-                Ok(0) => return self.close(number),
-                Ok(count) => drop(link.write.drain(..count)),
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                Err(_) => return self.close(number),
+    fn flush(&mut self, token: usize) {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        while !connection.write_buffer.is_empty() {
+            match connection.stream.write(connection.write_buffer.as_slices().0) {
+                Ok(0) => return self.close(token),
+                Ok(count) => drop(connection.write_buffer.drain(..count)),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
+                Err(_) => return self.close(token),
             }
         }
     }
 
-    fn close(&mut self, number: usize) {
-        if self.links.remove(&number).is_some() {
-            self.service.closed(Connection(number));
+    fn close(&mut self, token: usize) {
+        if self.connections.remove(&token).is_some() {
+            self.service.on_connection_closed(ConnectionId(token));
         }
     }
 }
--- a/crates/scale/tests/standins.rs
+++ b/crates/scale/tests/standins.rs
@@ -1,29 +1,30 @@
-//! The stand-ins by themselves: what they answer, and that the judge hears of it.
+//! The stand-ins by themselves: what they answer, and what they report to the judge.
 
 use scalebarrow_scale::standins::clients::{Client, HandInResult};
 use scalebarrow_scale::standins::id::{EventType, WebhookId};
 use scalebarrow_scale::standins::judge::{Judge, Rule, RuleParameters};
 use scalebarrow_scale::standins::list_service::{Endpoint, ListService};
-use scalebarrow_scale::standins::message::{Malformed, Request, answer, take_status};
+use scalebarrow_scale::standins::message::{Malformed, Request, response, take_status};
 use scalebarrow_scale::standins::receivers::{Behaviour, Receivers, SharedJudge};
-use scalebarrow_scale::standins::server::{Connection, Server, ServerActions, Service};
+use scalebarrow_scale::standins::server::{ConnectionId, Server, ServerActions, Service};
 use std::collections::HashMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-/// Far more than anything here takes.
-const LONG: Duration = Duration::from_secs(15);
-const TTL: f64 = 60.0;
+/// Far more than any step here takes.
+const TIMEOUT: Duration = Duration::from_secs(15);
+const TTL_SECS: f64 = 60.0;
 
-fn address() -> SocketAddr {
-    static NEXT: AtomicU8 = AtomicU8::new(1);
-    let (own, process) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
-    SocketAddr::from(([127, 190 + (process % 10) as u8, (process / 10 % 250) as u8, own], 18_081))
+/// An address that no other test uses at the same time.
+fn free_address() -> SocketAddr {
+    static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
+    let (host, process) = (NEXT_HOST.fetch_add(1, Ordering::Relaxed), std::process::id());
+    SocketAddr::from(([127, 190 + (process % 10) as u8, (process / 10 % 250) as u8, host], 18_081))
 }
 
-fn record() -> SharedJudge {
+fn new_judge() -> SharedJudge {
     SharedJudge::new(Judge::new(RuleParameters::default()))
 }
 
@@ -31,58 +32,60 @@
     WebhookId { sender: 0, destination: 1, number, event_type }
 }
 
-fn connect(at: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(at).unwrap();
-    stream.set_read_timeout(Some(LONG)).unwrap();
+fn connect(address: SocketAddr) -> TcpStream {
+    let stream = TcpStream::connect(address).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream
 }
 
-/// The whole of the next answer; nothing where the connection ends.
-fn hear(stream: &mut TcpStream) -> Option<(u16, String)> {
-    let (mut bytes, mut scratch) = (Vec::new(), [0; 4096]);
+/// The status and the body of the next response; `None` if the connection ends.
+fn read_response(stream: &mut TcpStream) -> Option<(u16, String)> {
+    let (mut bytes, mut read_buffer) = (Vec::new(), [0; 4096]);
     loop {
         let text = String::from_utf8_lossy(&bytes).into_owned();
         if let Some(status) = take_status(&mut bytes).unwrap() {
             return Some((status, text.split_once("\r\n\r\n").unwrap().1.to_owned()));
         }
-        match stream.read(&mut scratch).unwrap() {
+        match stream.read(&mut read_buffer).unwrap() {
             0 => return None,
-            count => bytes.extend_from_slice(&scratch[..count]),
+            count => bytes.extend_from_slice(&read_buffer[..count]),
         }
     }
 }
 
 fn call(stream: &mut TcpStream, id: WebhookId) {
-    let text = format!("POST /inbox HTTP/1.1\r\nHost: a\r\nReq-Id: {id}\r\nContent-Length: 2\r\n\r\nhi");
-    stream.write_all(text.as_bytes()).unwrap();
+    let request = format!("POST /inbox HTTP/1.1\r\nHost: a\r\nReq-Id: {id}\r\nContent-Length: 2\r\n\r\nhi");
+    stream.write_all(request.as_bytes()).unwrap();
 }
 
 #[test]
-fn messages_are_taken_whole() {
-    let text = b"POST /a HTTP/1.1\r\nReq-Id: x\r\nContent-Length: 3\r\n\r\nabcGET /b HTTP/1.1\r\n\r\n";
+fn messages_are_parsed_once_they_are_complete() {
+    let bytes = b"POST /a HTTP/1.1\r\nReq-Id: x\r\nContent-Length: 3\r\n\r\nabcGET /b HTTP/1.1\r\n\r\n";
     let mut buffer = Vec::new();
-    let mut taken = Vec::new();
-    for byte in text {
+    let mut requests = Vec::new();
+    for byte in bytes {
         buffer.push(*byte);
-        taken.extend(Request::take(&mut buffer).unwrap());
+        requests.extend(Request::take(&mut buffer).unwrap());
     }
     assert!(buffer.is_empty());
-    let seen: Vec<_> =
-        taken.iter().map(|r| (r.method.as_str(), r.target.as_str(), r.body.as_slice())).collect();
-    assert_eq!(seen, [("POST", "/a", b"abc".as_slice()), ("GET", "/b", b"")]);
-    assert_eq!(taken[0].header("req-id"), Some("x"));
-    for bad in ["no message\r\n\r\n", "POST /a HTTP/1.1\r\nContent-Length: x\r\n\r\n"] {
-        assert_eq!(Request::take(&mut bad.as_bytes().to_vec()), Err(Malformed), "{bad}");
+    let parsed: Vec<_> = requests
+        .iter()
+        .map(|request| (request.method.as_str(), request.target.as_str(), request.body.as_slice()))
+        .collect();
+    assert_eq!(parsed, [("POST", "/a", b"abc".as_slice()), ("GET", "/b", b"")]);
+    assert_eq!(requests[0].header("req-id"), Some("x"));
+    for malformed in ["no message\r\n\r\n", "POST /a HTTP/1.1\r\nContent-Length: x\r\n\r\n"] {
+        assert_eq!(Request::take(&mut malformed.as_bytes().to_vec()), Err(Malformed), "{malformed}");
     }
-    let mut good = answer(503, "Retry-After: 1\r\n", "later");
-    assert_eq!(take_status(&mut good), Ok(Some(503)));
-    assert!(good.is_empty());
+    let mut buffered = response(503, "Retry-After: 1\r\n", "later");
+    assert_eq!(take_status(&mut buffered), Ok(Some(503)));
+    assert!(buffered.is_empty());
 }
 
 #[test]
-fn receivers_do_as_they_are_told_and_the_judge_hears_of_it() {
-    let (at, record) = (address(), record());
-    let receivers = Server::start(&[at], Receivers::new(record.clone(), Behaviour::Fail)).unwrap();
+fn receivers_answer_by_their_behaviour_and_report_to_the_judge() {
+    let (address, shared_judge) = (free_address(), new_judge());
+    let server = Server::start(&[address], Receivers::new(shared_judge.clone(), Behaviour::Fail)).unwrap();
     let cases = [
         (Behaviour::Serve(Duration::ZERO), Some(200)),
         (Behaviour::Serve(Duration::from_millis(5)), Some(200)),
@@ -93,140 +96,155 @@
     ];
     for (number, (behaviour, status)) in cases.into_iter().enumerate() {
         let id = id(EventType::Idempotent, number as u32);
-        record.with(|judge, now| judge.record_hand_in(id, now, TTL));
-        record.with(|judge, _| judge.record_accepted(id));
-        receivers.with_service(move |r, _| r.set_destination_behaviour(1, Some(behaviour))).unwrap();
-        let mut stream = connect(at);
+        shared_judge.with(|judge, now| judge.record_hand_in(id, now, TTL_SECS));
+        shared_judge.with(|judge, _| judge.record_accepted(id));
+        server
+            .with_service(move |receivers, _| receivers.set_destination_behaviour(1, Some(behaviour)))
+            .unwrap();
+        let mut stream = connect(address);
         call(&mut stream, id);
-        assert_eq!(hear(&mut stream).map(|a| a.0), status, "{behaviour:?}");
+        assert_eq!(read_response(&mut stream).map(|response| response.0), status, "{behaviour:?}");
     }
-    let (counts, breaches) = record.with(|judge, now| judge.finish(now));
+    let (counts, breaches) = shared_judge.with(|judge, now| judge.finish(now));
     assert_eq!((counts.accepted, counts.calls, counts.delivered, counts.pending), (6, 6, 2, 4));
     assert_eq!(breaches, []);
     assert_eq!(
-        receivers.with_service(|r, _| (r.call_count(), r.call_count_to(1), r.call_count_to(2))),
+        server.with_service(|receivers, _| (
+            receivers.call_count(),
+            receivers.call_count_to(1),
+            receivers.call_count_to(2)
+        )),
         Some((6, 6, 0))
     );
 }
 
 #[test]
-fn a_sender_that_repeats_what_may_not_run_twice_is_found_out() {
-    let (at, record) = (address(), record());
-    let _receivers = Server::start(&[at], Receivers::new(record.clone(), Behaviour::Fail)).unwrap();
-    let once = id(EventType::AtMostOnce, 1);
-    record.with(|judge, now| judge.record_hand_in(once, now, TTL));
-    let mut stream = connect(at);
+fn repeating_an_at_most_once_webhook_is_reported_as_a_breach() {
+    let (address, shared_judge) = (free_address(), new_judge());
+    let _receivers =
+        Server::start(&[address], Receivers::new(shared_judge.clone(), Behaviour::Fail)).unwrap();
+    let at_most_once = id(EventType::AtMostOnce, 1);
+    shared_judge.with(|judge, now| judge.record_hand_in(at_most_once, now, TTL_SECS));
+    let mut stream = connect(address);
     for _ in 0..2 {
-        call(&mut stream, once);
-        assert_eq!(hear(&mut stream).unwrap().0, 500);
+        call(&mut stream, at_most_once);
+        assert_eq!(read_response(&mut stream).unwrap().0, 500);
     }
-    let (_, breaches) = record.with(|judge, now| judge.finish(now));
-    assert_eq!(breaches.iter().map(|b| b.rule).collect::<Vec<_>>(), [Rule::Twice]);
+    let (_, breaches) = shared_judge.with(|judge, now| judge.finish(now));
+    assert_eq!(breaches.iter().map(|breach| breach.rule).collect::<Vec<_>>(), [Rule::Twice]);
 }
 
 #[test]
-fn lists_watches_and_notices() {
-    let (at, record) = (address(), record());
-    let lines: Vec<Endpoint> = (0..3).map(|dest| Endpoint::new(dest, at, 1.0)).collect();
-    let service = ListService::new(record.clone(), HashMap::from([(at, 7)]), lines.clone());
-    let list = Server::start(&[at], service).unwrap();
-    let ask = |target: &str| {
-        let mut stream = connect(at);
+fn list_service_answers_list_calls_watches_and_notices() {
+    let (address, shared_judge) = (free_address(), new_judge());
+    let endpoints: Vec<Endpoint> =
+        (0..3).map(|destination| Endpoint::new(destination, address, 1.0)).collect();
+    let service = ListService::new(shared_judge.clone(), HashMap::from([(address, 7)]), endpoints.clone());
+    let list = Server::start(&[address], service).unwrap();
+    let call_list = |target: &str| {
+        let mut stream = connect(address);
         stream.write_all(format!("GET /v1/endpoints{target} HTTP/1.1\r\n\r\n").as_bytes()).unwrap();
         stream
     };
-    let told = |stream: &mut TcpStream| {
-        let (status, body) = hear(stream).unwrap();
+    let read_update = |stream: &mut TcpStream| {
+        let (status, body) = read_response(stream).unwrap();
         assert_eq!(status, 200);
-        let news: serde_json::Value = serde_json::from_str(&body).unwrap();
-        let hosts = news["hosts"].as_array().unwrap().len();
-        (news["seq"].as_u64().unwrap(), news["whole"].as_bool().unwrap(), hosts)
+        let update: serde_json::Value = serde_json::from_str(&body).unwrap();
+        let hosts = update["hosts"].as_array().unwrap().len();
+        (update["seq"].as_u64().unwrap(), update["whole"].as_bool().unwrap(), hosts)
     };
-    assert_eq!(told(&mut ask("")), (1, true, 3));
-    // Nothing new until its wait is over.
-    assert_eq!(told(&mut ask("?since=1&timeout_ms=20")), (1, false, 0));
-    let mut watch = ask("?since=1&timeout_ms=60000");
-    let since = Instant::now();
-    while list.with_service(|l, _| l.watch_count()) != Some(1) {
-        assert!(since.elapsed() < LONG);
+    assert_eq!(read_update(&mut call_list("")), (1, true, 3));
+    // Without a change, a watch is answered when its timeout is over.
+    assert_eq!(read_update(&mut call_list("?since=1&timeout_ms=20")), (1, false, 0));
+    let mut watch = call_list("?since=1&timeout_ms=60000");
+    let began_at = Instant::now();
+    while list.with_service(|service, _| service.watch_count()) != Some(1) {
+        assert!(began_at.elapsed() < TIMEOUT);
     }
-    let change = lines[1].clone();
-    list.with_service(move |l, actions| l.update_endpoints(vec![change], actions)).unwrap();
-    assert_eq!(told(&mut watch), (2, false, 1));
-    assert_eq!(list.with_service(|l, _| l.up_to_date_senders()), Some(0));
-    assert_eq!(told(&mut ask("?since=1&timeout_ms=60000")), (2, false, 1));
-    assert_eq!(told(&mut ask("?since=2&timeout_ms=20")), (2, false, 0));
+    let changed_endpoint = endpoints[1].clone();
+    list.with_service(move |service, actions| service.update_endpoints(vec![changed_endpoint], actions))
+        .unwrap();
+    assert_eq!(read_update(&mut watch), (2, false, 1));
+    assert_eq!(list.with_service(|service, _| service.up_to_date_senders()), Some(0));
+    assert_eq!(read_update(&mut call_list("?since=1&timeout_ms=60000")), (2, false, 1));
+    assert_eq!(read_update(&mut call_list("?since=2&timeout_ms=20")), (2, false, 0));
     assert_eq!(
-        list.with_service(|l, _| (l.up_to_date_senders(), l.take_propagation_delays().len())),
+        list.with_service(|service, _| (
+            service.up_to_date_senders(),
+            service.take_propagation_delays().len()
+        )),
         Some((1, 1))
     );
-    // Who has missed the history gets the whole list.
-    list.with_service(|l, actions| l.send_full_list(actions)).unwrap();
-    assert_eq!(told(&mut ask("?since=2&timeout_ms=60000")), (3, true, 3));
+    // A sender whose version is older than the known changes gets the whole list.
+    list.with_service(|service, actions| service.send_full_list(actions)).unwrap();
+    assert_eq!(read_update(&mut call_list("?since=2&timeout_ms=60000")), (3, true, 3));
 
     let given_up = id(EventType::Idempotent, 1);
-    record.with(|judge, now| judge.record_hand_in(given_up, now, TTL));
-    record.with(|judge, _| judge.record_accepted(given_up));
-    for (line, status) in [
+    shared_judge.with(|judge, now| judge.record_hand_in(given_up, now, TTL_SECS));
+    shared_judge.with(|judge, _| judge.record_accepted(given_up));
+    for (notice, status) in [
         (format!(r#"{{"id":"{given_up}","state":"failed"}}"#), 204),
         (format!(r#"{{"id":"{given_up}","state":"other"}}"#), 400),
         ("no line".into(), 400),
     ] {
-        let mut stream = connect(at);
-        let head = format!("POST /v1/outcomes HTTP/1.1\r\nContent-Length: {}\r\n\r\n", line.len());
-        stream.write_all([head.as_bytes(), line.as_bytes()].concat().as_slice()).unwrap();
-        assert_eq!(hear(&mut stream).unwrap().0, status, "{line}");
+        let mut stream = connect(address);
+        let head = format!("POST /v1/outcomes HTTP/1.1\r\nContent-Length: {}\r\n\r\n", notice.len());
+        stream.write_all([head.as_bytes(), notice.as_bytes()].concat().as_slice()).unwrap();
+        assert_eq!(read_response(&mut stream).unwrap().0, status, "{notice}");
     }
-    let (counts, breaches) = record.with(|judge, now| judge.finish(now));
+    let (counts, breaches) = shared_judge.with(|judge, now| judge.finish(now));
     assert_eq!((counts.given_up, breaches), (1, Vec::new()));
-    assert_eq!(list.with_service(|l, _| l.total_traffic().notice_calls), Some(3));
+    assert_eq!(list.with_service(|service, _| service.total_traffic().notice_calls), Some(3));
 }
 
-/// Answers each hand-in with the next status of a row; 0 ends the connection instead.
-struct Sender(Vec<u16>);
+/// A sender that answers each hand-in with the next of these statuses; 0 closes the connection instead.
+struct ScriptedSender(Vec<u16>);
 
-impl Service for Sender {
-    fn request(&mut self, from: Connection, _: SocketAddr, _: Request, actions: &mut ServerActions) {
+impl Service for ScriptedSender {
+    fn on_request(
+        &mut self, connection: ConnectionId, _: SocketAddr, _: Request, actions: &mut ServerActions,
+    ) {
         match self.0.remove(0) {
-            0 => actions.end(from),
-            status => actions.send(from, answer(status, "", "")),
+            0 => actions.close(connection),
+            status => actions.send(connection, response(status, "", "")),
         }
     }
 }
 
 #[test]
-fn clients_tell_what_they_heard() {
-    let (at, record) = (address(), record());
-    // The second 0 ends a connection that was kept: it is handed in once more over a new one.
+fn clients_report_the_answers_that_they_got() {
+    let (address, shared_judge) = (free_address(), new_judge());
+    // The 0 closes a kept-alive connection: the client hands the webhook in again over a new one.
     let statuses = vec![202, 429, 503, 500, 0, 202, 200];
-    let _sender = Server::start(&[at], Sender(statuses)).unwrap();
-    let mut client = Client::new(at, record.clone(), 10);
-    let mut heard = Vec::new();
+    let _sender = Server::start(&[address], ScriptedSender(statuses)).unwrap();
+    let mut client = Client::new(address, shared_judge.clone(), 10);
+    let mut results = Vec::new();
     for number in 0..6 {
-        heard.push(client.hand_in(id(EventType::Idempotent, number), Duration::from_secs(60)));
+        results.push(client.hand_in(id(EventType::Idempotent, number), Duration::from_secs(60)));
     }
-    let (taken, refused, nothing) = (HandInResult::Accepted, HandInResult::Refused, HandInResult::NoAnswer);
-    assert_eq!(heard, [taken, refused, refused, nothing, taken, taken]);
+    let (accepted, refused, no_answer) =
+        (HandInResult::Accepted, HandInResult::Refused, HandInResult::NoAnswer);
+    assert_eq!(results, [accepted, refused, refused, no_answer, accepted, accepted]);
     assert_eq!((client.answers.accepted, client.answers.refused, client.answers.unanswered), (3, 2, 1));
     assert_eq!(client.answers.latency_micros.len(), 5);
-    let (counts, _) = record.with(|judge, now| judge.finish(now));
+    let (counts, _) = shared_judge.with(|judge, now| judge.finish(now));
     assert_eq!((counts.accepted, counts.refused, counts.unanswered), (3, 2, 1));
 }
 
 #[test]
-fn a_listener_that_is_shut_refuses_until_it_is_opened_again() {
-    let (at, record) = (address(), record());
-    let server = Server::start(&[at], Receivers::new(record, Behaviour::Refuse)).unwrap();
-    let mut open = connect(at);
-    server.with_service(move |_, actions| actions.close_listener(at)).unwrap();
-    // Ended or reset: either way nothing comes any more.
-    assert!(open.read(&mut [0]).is_ok_and(|count| count == 0) || open.read(&mut [0]).is_err());
-    let since = Instant::now();
-    while TcpStream::connect(at).is_ok() {
-        assert!(since.elapsed() < LONG, "it is not shut");
+fn a_closed_listener_refuses_connections_until_it_is_opened_again() {
+    let (address, shared_judge) = (free_address(), new_judge());
+    let server = Server::start(&[address], Receivers::new(shared_judge, Behaviour::Refuse)).unwrap();
+    let mut stream = connect(address);
+    server.with_service(move |_, actions| actions.close_listener(address)).unwrap();
+    // The connection is closed or reset; either way nothing can be read any more.
+    assert!(stream.read(&mut [0]).is_ok_and(|count| count == 0) || stream.read(&mut [0]).is_err());
+    let began_at = Instant::now();
+    while TcpStream::connect(address).is_ok() {
+        assert!(began_at.elapsed() < TIMEOUT, "the listener is not closed");
     }
-    server.with_service(move |_, actions| actions.open_listener(at)).unwrap();
-    while TcpStream::connect(at).is_err() {
-        assert!(since.elapsed() < LONG, "it is not open");
+    server.with_service(move |_, actions| actions.open_listener(address)).unwrap();
+    while TcpStream::connect(address).is_err() {
+        assert!(began_at.elapsed() < TIMEOUT, "the listener is not open");
     }
 }
