--- a/crates/scale/src/standins/judge/mod.rs
+++ b/crates/scale/src/standins/judge/mod.rs
@@ -22,8 +22,8 @@
 const UNREAD_ANSWER_SECS: f64 = 1.0;
 /// A delivery this close to the webhook's deadline, before or after, may count as in time or not.
 const DEADLINE_TOLERANCE_SECS: f64 = 0.05;
-/// An answer that was written this long before the deadline has been read. A sender may pause for 0.15 s
-/// before it reads an answer; a notice that the webhook was given up does no harm in that case.
+/// An answer that was written this long before the deadline has been read. A sender may be held up for 0.15 s
+/// before it reads an answer, and a notice that is sent because the deadline passed meanwhile does no harm.
 const ANSWER_READ_SECS: f64 = 0.2;
 
 /// The rules that a sender must keep.
@@ -35,7 +35,7 @@
     Twice,
     /// Webhooks with one ordering key are sent one at a time, in the order in which they were accepted.
     Order,
-    /// A sender sends nothing to a destination that asked it to wait until the wait is over.
+    /// A sender that was asked to wait by a destination sends it nothing before the wait is over.
     Waits,
     /// A destination that comes back from an outage is not overloaded by the senders that saw the outage.
     Returns,
@@ -128,6 +128,7 @@
 
 /// What is known of one webhook. Times are seconds since the run began.
 struct WebhookState {
+    /// By when it is to be delivered.
     deadline: f64,
     client_answer: ClientAnswer,
     /// When the call that is in flight arrived.
@@ -188,8 +189,8 @@
         stops.chain(&self.exits).any(|stopped_at| (from..=to).contains(stopped_at))
     }
 
-    /// The time after which an answer that is due at `due_at` counts as overdue. It is later than `due_at` if the
-    /// sender was stopped before, and infinite as long as the sender is not ready again.
+    /// The time after which an answer that is due at `due_at` counts as overdue. It is later than `due_at` if
+    /// the sender was stopped before, and infinite as long as the sender is not ready again.
     fn overdue_after(&self, due_at: f64, grace_secs: f64) -> f64 {
         self.downtimes.iter().fold(due_at, |due_at, (stopped_at, ready_at)| match ready_at {
             _ if *stopped_at > due_at => due_at,
@@ -224,7 +225,7 @@
 pub struct Judge {
     parameters: RuleParameters,
     webhooks: HashMap<WebhookId, WebhookState>,
-    /// By sender.
+    /// The restarts of each sender.
     restarts: HashMap<u16, SenderRestarts>,
     /// By sender and destination: when the last wait was asked for, and until when it lasts.
     waits: HashMap<(u16, u32), (f64, f64)>,
--- a/crates/scale/src/standins/judge/returns.rs
+++ b/crates/scale/src/standins/judge/returns.rs
@@ -64,6 +64,7 @@
     observers: HashSet<u16>,
     /// The calls in the last overload window: when each arrived, and its sender.
     recent_calls: VecDeque<(f64, u16)>,
+    /// Whether the destination was overloaded after the outage. Further calls are not judged then.
     overloaded: bool,
 }
 
--- a/crates/scale/src/standins/list_service.rs
+++ b/crates/scale/src/standins/list_service.rs
@@ -88,13 +88,16 @@
 /// A call for the list that is answered when the list changes.
 struct Watch {
     sender: u16,
+    /// The version that the sender has.
     since_version: u64,
+    /// When it is answered if nothing changes before.
     deadline: Instant,
 }
 
 /// The list service. Each sender reaches it at an address of its own, by which the service knows the sender.
 pub struct ListService {
     judge: SharedJudge,
+    /// The sender that calls each address.
     senders: HashMap<SocketAddr, u16>,
     endpoints: Vec<Endpoint>,
     version: u64,
@@ -102,8 +105,10 @@
     history_from_version: u64,
     /// Changed entries, each with the version that changed it.
     changes: Vec<(u64, Endpoint)>,
+    /// When each version was made.
     changed_at: HashMap<u64, Instant>,
     watches: HashMap<ConnectionId, Watch>,
+    /// The calls of each sender.
     traffic: HashMap<u16, SenderTraffic>,
     /// Whether calls for the list get no answer. Notices are always answered.
     silent: bool,
--- a/crates/scale/src/standins/receivers.rs
+++ b/crates/scale/src/standins/receivers.rs
@@ -74,6 +74,7 @@
 /// What is known of the endpoint at one address.
 struct EndpointState {
     location: EndpointLocation,
+    /// `None` if it answers as its destination or the default says.
     behaviour: Option<Behaviour>,
     answer_path: AnswerPath,
 }
@@ -89,10 +90,12 @@
 pub struct Receivers {
     judge: SharedJudge,
     default_behaviour: Behaviour,
+    /// By destination; these go before the behaviours of endpoints.
     destination_behaviours: HashMap<u32, Behaviour>,
     endpoints: HashMap<SocketAddr, EndpointState>,
     last_calls: HashMap<ConnectionId, LastCall>,
     call_count: u64,
+    /// Calls for each destination.
     call_counts: HashMap<u32, u64>,
 }
 
--- a/crates/scale/src/standins/server.rs
+++ b/crates/scale/src/standins/server.rs
@@ -17,7 +17,7 @@
 /// The poll token of the waker.
 const WAKER_TOKEN: Token = Token(0);
 /// Bytes that one read takes from a connection at most.
-const READ_BUFFER_BYTES: usize = 64 * 1024;
+const MAX_READ_BYTES: usize = 64 * 1024;
 /// Listeners have poll tokens below this number, connections have tokens from it on.
 const FIRST_CONNECTION_TOKEN: usize = 10_000;
 
@@ -186,7 +186,7 @@
 impl<S: Service> EventLoop<S> {
     fn run(&mut self) {
         let mut events = Events::with_capacity(1024);
-        let mut read_buffer = vec![0; READ_BUFFER_BYTES];
+        let mut chunk = vec![0; MAX_READ_BYTES];
         loop {
             let timeout = self
                 .timer_queue
@@ -199,7 +199,7 @@
                 _ => {}
             }
             for event in &events {
-                self.handle_event(event, &mut read_buffer);
+                self.handle_event(event, &mut chunk);
             }
             let mut actions = ServerActions::default();
             while let Ok(command) = self.commands.try_recv() {
@@ -213,7 +213,7 @@
         }
     }
 
-    fn handle_event(&mut self, event: &Event, read_buffer: &mut [u8]) {
+    fn handle_event(&mut self, event: &Event, chunk: &mut [u8]) {
         match event.token() {
             WAKER_TOKEN => {}
             Token(token) if token < FIRST_CONNECTION_TOKEN => self.accept(token),
@@ -222,7 +222,7 @@
                     self.flush(token);
                 }
                 if event.is_readable() {
-                    self.read(token, read_buffer);
+                    self.read(token, chunk);
                 }
             }
         }
@@ -281,12 +281,12 @@
         }
     }
 
-    fn read(&mut self, token: usize, read_buffer: &mut [u8]) {
+    fn read(&mut self, token: usize, chunk: &mut [u8]) {
         loop {
             let Some(connection) = self.connections.get_mut(&token) else { return };
-            match connection.stream.read(read_buffer) {
+            match connection.stream.read(chunk) {
                 Ok(0) => return self.close(token),
-                Ok(count) => connection.read_buffer.extend_from_slice(&read_buffer[..count]),
+                Ok(count) => connection.read_buffer.extend_from_slice(&chunk[..count]),
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(_) => return self.close(token),
