--- a/src/index.rs
+++ b/src/index.rs
@@ -1,37 +1,37 @@
-//! Containers that hold and order what the policy looks through, so that it need not look at all of it after every
-//! input. They decide nothing and know no figure: when a thing is due, and what it is grouped by, the policy says.
+//! Containers that keep what the rule engine searches in order, so that it need not scan everything after
+//! every input. They make no decisions: the engine supplies every due time and every group.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A time that can be ordered.
+/// A time in seconds with a total order.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Moment(pub f64);
+pub(crate) struct OrderedTime(pub f64);
 
-impl Eq for Moment {}
-impl PartialOrd for Moment {
+impl Eq for OrderedTime {}
+impl PartialOrd for OrderedTime {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Moment {
+impl Ord for OrderedTime {
     fn cmp(&self, other: &Self) -> Ordering {
         self.0.total_cmp(&other.0)
     }
 }
 
-/// The middle one.
-pub(crate) fn median(of: impl Iterator<Item = f64>) -> Option<f64> {
-    let mut all: Vec<f64> = of.collect();
-    all.sort_by(f64::total_cmp);
-    all.get(all.len() / 2).copied()
+/// The median; of an even number of values, the upper of the middle two.
+pub(crate) fn median(values: impl Iterator<Item = f64>) -> Option<f64> {
+    let mut sorted: Vec<f64> = values.collect();
+    sorted.sort_by(f64::total_cmp);
+    sorted.get(sorted.len() / 2).copied()
 }
 
-/// Things that wait for a time each: a thing has one time at most.
+/// Keys that are due at a time; each key has at most one.
 #[derive(Debug)]
 pub(crate) struct Timers<K> {
-    by_time: BTreeSet<(Moment, K)>,
-    times: BTreeMap<K, Moment>,
+    by_time: BTreeSet<(OrderedTime, K)>,
+    times: BTreeMap<K, OrderedTime>,
 }
 
 impl<K> Default for Timers<K> {
@@ -41,29 +41,30 @@
 }
 
 impl<K: Ord + Clone> Timers<K> {
-    /// Sets the time of a thing, instead of the one it had; none for a time without end.
-    pub fn set(&mut self, key: K, at: f64) {
+    /// Sets or replaces the time of a key. Infinity removes it.
+    pub fn set(&mut self, key: K, due_at: f64) {
         self.remove(&key);
-        if at < f64::INFINITY {
-            self.by_time.insert((Moment(at), key.clone()));
-            self.times.insert(key, Moment(at));
+        if due_at < f64::INFINITY {
+            self.by_time.insert((OrderedTime(due_at), key.clone()));
+            self.times.insert(key, OrderedTime(due_at));
         }
     }
 
+    /// Removes a key, if it is there.
     pub fn remove(&mut self, key: &K) {
-        if let Some(at) = self.times.remove(key) {
-            self.by_time.remove(&(at, key.clone()));
+        if let Some(due_at) = self.times.remove(key) {
+            self.by_time.remove(&(due_at, key.clone()));
         }
     }
 
-    /// The earliest time.
-    pub fn next(&self) -> f64 {
-        self.by_time.first().map_or(f64::INFINITY, |(at, _)| at.0)
+    /// The earliest time, or infinity.
+    pub fn next_at(&self) -> f64 {
+        self.by_time.first().map_or(f64::INFINITY, |(due_at, _)| due_at.0)
     }
 
-    /// Takes out the earliest thing whose time has come.
-    pub fn due(&mut self, now: f64) -> Option<K> {
-        if self.by_time.first().is_none_or(|(at, _)| now < at.0) {
+    /// Removes and returns the earliest key if it is due.
+    pub fn pop_due(&mut self, now: f64) -> Option<K> {
+        if self.by_time.first().is_none_or(|(due_at, _)| now < due_at.0) {
             return None;
         }
         let (_, key) = self.by_time.pop_first()?;
@@ -72,260 +73,278 @@
     }
 }
 
-/// What the policy says of a webhook when it is held.
+/// What has to be known of a pending webhook to index it.
 #[derive(Clone, Debug)]
-pub(crate) struct Facts<G> {
-    pub dest: u64,
-    /// From then on it is out of time.
-    pub late_at: f64,
-    /// From then on it may not be sent any more; at once, for a time that is past.
-    pub spent_at: f64,
-    /// Until then it may not be sent yet.
-    pub own_at: f64,
-    /// Those of one group differ only by what they are ordered by, and by their place.
+pub(crate) struct PendingEntry<G> {
+    pub destination: u64,
+    /// From this time on an attempt could no longer end within the TTL.
+    pub expires_at: f64,
+    /// From this time on no further attempt is allowed; a past time takes effect at once.
+    pub exhausted_at: f64,
+    /// Before this time no attempt is allowed.
+    pub sendable_at: f64,
+    /// Webhooks of one group differ only in their target deadline and their sequence number.
     pub group: G,
-    pub target_at: f64,
+    pub target_deadline: f64,
 }
 
-/// Webhooks of one destination and group that may be sent as far as they themselves decide it.
+/// The sendable webhooks of one destination and group. Whether a route can take them is decided elsewhere.
 #[derive(Debug, Default)]
-pub(crate) struct Queue {
-    /// By target time, then place.
-    pub by_target: BTreeSet<(Moment, u64)>,
-    /// Ids by place: the order in which they were held.
-    pub by_place: BTreeMap<u64, u64>,
+pub(crate) struct SendableQueue {
+    /// Target deadlines and sequence numbers.
+    pub by_target: BTreeSet<(OrderedTime, u64)>,
+    /// Ids by sequence number: the order in which the webhooks became pending.
+    pub by_sequence: BTreeMap<u64, u64>,
 }
 
-impl Queue {
-    /// The place and id of the first by rank: of those whose target time is not before `at` the soonest; else, where
-    /// `value` never falls with the target time, the one with the latest, or the first of all that are worth as much.
-    pub fn first(&self, at: f64, value: impl Fn(u64) -> f64) -> Option<(u64, u64)> {
-        let from = |at: Moment| self.by_target.range((at, 0)..).next();
-        let with_id = |x: &(Moment, u64)| Some((x.1, *self.by_place.get(&x.1)?));
-        if let Some(on_time) = from(Moment(at)) {
+impl SendableQueue {
+    /// The sequence number and id of the webhook to send first. Among those whose target deadline is at or
+    /// after `delivery_at` that is the one with the earliest deadline. If all are late, it is the first of
+    /// those whose `value` equals that of the latest deadline; `value` must never fall as the deadline grows.
+    pub fn first_ranked(&self, delivery_at: f64, value: impl Fn(u64) -> f64) -> Option<(u64, u64)> {
+        let from = |time: OrderedTime| self.by_target.range((time, 0)..).next();
+        let with_id = |entry: &(OrderedTime, u64)| Some((entry.1, *self.by_sequence.get(&entry.1)?));
+        if let Some(on_time) = from(OrderedTime(delivery_at)) {
             return with_id(on_time);
         }
-        let worth = |x: &(Moment, u64)| self.by_place.get(&x.1).map_or(0.0, |id| value(*id));
+        let worth = |entry: &(OrderedTime, u64)| self.by_sequence.get(&entry.1).map_or(0.0, |id| value(*id));
         let (first, last) = (self.by_target.first()?, self.by_target.last()?);
-        let most = worth(last);
-        if worth(first) == most {
+        let highest = worth(last);
+        if worth(first) == highest {
             return with_id(first);
         }
-        // Those before `low`, and it, are worth less; those from `high` on as much as the last.
+        // Bisection: entries up to and including `low` are worth less, entries from `high` on as much as the
+        // last.
         let (mut low, mut high) = (first.0.0, last.0.0);
-        let before = self.by_target.range(..(last.0, 0)).next_back();
-        let mut more = before.is_some_and(|x| worth(x) == most);
-        // 60 halvings leave less than any two times differ by.
+        let before_last = self.by_target.range(..(last.0, 0)).next_back();
+        let mut unfinished = before_last.is_some_and(|entry| worth(entry) == highest);
+        // 60 halvings are finer than the difference of any two times.
         for _ in 0..60 {
             let middle = low + (high - low) / 2.0;
-            more = more && low < middle && middle < high;
-            match from(Moment(middle)).filter(|_| more) {
-                Some(x) if worth(x) == most => high = middle,
-                Some(x) => low = x.0.0,
+            unfinished = unfinished && low < middle && middle < high;
+            match from(OrderedTime(middle)).filter(|_| unfinished) {
+                Some(entry) if worth(entry) == highest => high = middle,
+                Some(entry) => low = entry.0.0,
                 None => break,
             }
         }
-        from(Moment(high)).and_then(with_id)
+        from(OrderedTime(high)).and_then(with_id)
     }
 }
 
-/// All webhooks that are held.
+/// All pending webhooks: those without a final answer and without an attempt in flight.
 #[derive(Debug)]
-pub(crate) struct Held<G> {
-    next_place: u64,
-    facts: BTreeMap<u64, (u64, Facts<G>)>,
-    /// By destination, in the order in which they were held. One with nothing held has no entry.
-    lines: BTreeMap<u64, BTreeMap<u64, u64>>,
-    lates: Timers<u64>,
-    spents: Timers<u64>,
-    owns: Timers<u64>,
-    late: BTreeSet<(u64, u64, u64)>,
-    spent: BTreeSet<(u64, u64, u64)>,
-    /// By destination and group, where any may be sent.
-    pub ready: BTreeMap<u64, BTreeMap<G, Queue>>,
-    /// Destinations whose line began or ended, or whose ready ones changed, since the policy asked.
+pub(crate) struct PendingWebhooks<G> {
+    next_sequence: u64,
+    /// Sequence number and entry, by id.
+    entries: BTreeMap<u64, (u64, PendingEntry<G>)>,
+    /// Ids by destination and sequence number. A destination without pending webhooks has no entry.
+    by_destination: BTreeMap<u64, BTreeMap<u64, u64>>,
+    expiry_timers: Timers<u64>,
+    exhaustion_timers: Timers<u64>,
+    sendable_timers: Timers<u64>,
+    /// Destination, sequence number and id.
+    expired: BTreeSet<(u64, u64, u64)>,
+    /// Destination, sequence number and id.
+    exhausted: BTreeSet<(u64, u64, u64)>,
+    /// Sendable webhooks by destination and group. There are no empty entries.
+    pub sendable: BTreeMap<u64, BTreeMap<G, SendableQueue>>,
+    /// Destinations whose pending or sendable webhooks changed since the engine last looked.
     pub changed: BTreeSet<u64>,
 }
 
-impl<G> Default for Held<G> {
+impl<G> Default for PendingWebhooks<G> {
     fn default() -> Self {
-        Held {
-            next_place: 0,
-            facts: BTreeMap::new(),
-            lines: BTreeMap::new(),
-            lates: Timers::default(),
-            spents: Timers::default(),
-            owns: Timers::default(),
-            late: BTreeSet::new(),
-            spent: BTreeSet::new(),
-            ready: BTreeMap::new(),
+        PendingWebhooks {
+            next_sequence: 0,
+            entries: BTreeMap::new(),
+            by_destination: BTreeMap::new(),
+            expiry_timers: Timers::default(),
+            exhaustion_timers: Timers::default(),
+            sendable_timers: Timers::default(),
+            expired: BTreeSet::new(),
+            exhausted: BTreeSet::new(),
+            sendable: BTreeMap::new(),
             changed: BTreeSet::new(),
         }
     }
 }
 
-impl<G: Ord + Clone> Held<G> {
-    /// Holds a webhook behind all others, or anew in its old place if it is held.
-    pub fn put(&mut self, id: u64, facts: Facts<G>) {
-        let place = match self.facts.get(&id) {
-            Some((place, _)) => *place,
-            None => self.next_place,
+impl<G: Ord + Clone> PendingWebhooks<G> {
+    /// Adds a webhook behind all others. One that is already pending gets the new entry but keeps its
+    /// sequence number.
+    pub fn insert(&mut self, id: u64, entry: PendingEntry<G>) {
+        let sequence = match self.entries.get(&id) {
+            Some((sequence, _)) => *sequence,
+            None => self.next_sequence,
         };
-        self.take(id);
-        self.next_place = self.next_place.max(place + 1);
-        self.lates.set(id, facts.late_at);
-        self.spents.set(id, facts.spent_at);
-        self.owns.set(id, facts.own_at);
-        self.lines.entry(facts.dest).or_default().insert(place, id);
-        self.changed.insert(facts.dest);
-        self.facts.insert(id, (place, facts));
+        self.remove(id);
+        self.next_sequence = self.next_sequence.max(sequence + 1);
+        self.expiry_timers.set(id, entry.expires_at);
+        self.exhaustion_timers.set(id, entry.exhausted_at);
+        self.sendable_timers.set(id, entry.sendable_at);
+        self.by_destination.entry(entry.destination).or_default().insert(sequence, id);
+        self.changed.insert(entry.destination);
+        self.entries.insert(id, (sequence, entry));
     }
 
-    /// Takes a webhook out.
-    pub fn take(&mut self, id: u64) {
-        let Some((place, f)) = self.facts.remove(&id) else { return };
-        self.lates.remove(&id);
-        self.spents.remove(&id);
-        self.owns.remove(&id);
-        self.late.remove(&(f.dest, place, id));
-        self.spent.remove(&(f.dest, place, id));
-        if let Some(line) = self.lines.get_mut(&f.dest) {
-            line.remove(&place);
-            if line.is_empty() {
-                self.lines.remove(&f.dest);
+    /// Removes a webhook, if it is pending.
+    pub fn remove(&mut self, id: u64) {
+        let Some((sequence, entry)) = self.entries.remove(&id) else { return };
+        self.expiry_timers.remove(&id);
+        self.exhaustion_timers.remove(&id);
+        self.sendable_timers.remove(&id);
+        self.expired.remove(&(entry.destination, sequence, id));
+        self.exhausted.remove(&(entry.destination, sequence, id));
+        if let Some(ids) = self.by_destination.get_mut(&entry.destination) {
+            ids.remove(&sequence);
+            if ids.is_empty() {
+                self.by_destination.remove(&entry.destination);
             }
         }
-        if let Some(groups) = self.ready.get_mut(&f.dest) {
-            if let Some(q) = groups.get_mut(&f.group) {
-                q.by_target.remove(&(Moment(f.target_at), place));
-                q.by_place.remove(&place);
-                if q.by_place.is_empty() {
-                    groups.remove(&f.group);
+        if let Some(groups) = self.sendable.get_mut(&entry.destination) {
+            if let Some(queue) = groups.get_mut(&entry.group) {
+                queue.by_target.remove(&(OrderedTime(entry.target_deadline), sequence));
+                queue.by_sequence.remove(&sequence);
+                if queue.by_sequence.is_empty() {
+                    groups.remove(&entry.group);
                 }
             }
             if groups.is_empty() {
-                self.ready.remove(&f.dest);
+                self.sendable.remove(&entry.destination);
             }
         }
-        self.changed.insert(f.dest);
+        self.changed.insert(entry.destination);
     }
 
-    /// Moves on what a time has come for.
-    pub fn pass(&mut self, now: f64) {
-        while let Some(id) = self.lates.due(now) {
-            let (place, f) = &self.facts[&id];
-            self.late.insert((f.dest, *place, id));
+    /// Applies all timers that are due.
+    pub fn advance(&mut self, now: f64) {
+        while let Some(id) = self.expiry_timers.pop_due(now) {
+            let (sequence, entry) = &self.entries[&id];
+            self.expired.insert((entry.destination, *sequence, id));
         }
-        while let Some(id) = self.spents.due(now) {
-            let (place, f) = &self.facts[&id];
-            self.spent.insert((f.dest, *place, id));
+        while let Some(id) = self.exhaustion_timers.pop_due(now) {
+            let (sequence, entry) = &self.entries[&id];
+            self.exhausted.insert((entry.destination, *sequence, id));
         }
-        while let Some(id) = self.owns.due(now) {
-            let (place, f) = &self.facts[&id];
-            let q = self.ready.entry(f.dest).or_default().entry(f.group.clone()).or_default();
-            q.by_target.insert((Moment(f.target_at), *place));
-            q.by_place.insert(*place, id);
-            self.changed.insert(f.dest);
+        while let Some(id) = self.sendable_timers.pop_due(now) {
+            let (sequence, entry) = &self.entries[&id];
+            let queue =
+                self.sendable.entry(entry.destination).or_default().entry(entry.group.clone()).or_default();
+            queue.by_target.insert((OrderedTime(entry.target_deadline), *sequence));
+            queue.by_sequence.insert(*sequence, id);
+            self.changed.insert(entry.destination);
         }
     }
 
-    /// The first webhook, by destination and place, that is out of time, and the first that is spent.
-    pub fn first_late(&self) -> Option<u64> {
-        self.late.first().map(|x| x.2)
+    /// The first expired webhook, by destination and sequence number.
+    pub fn first_expired(&self) -> Option<u64> {
+        self.expired.first().map(|entry| entry.2)
     }
 
-    pub fn first_spent(&self) -> Option<u64> {
-        self.spent.first().map(|x| x.2)
+    /// The first webhook without further attempts, by destination and sequence number.
+    pub fn first_exhausted(&self) -> Option<u64> {
+        self.exhausted.first().map(|entry| entry.2)
     }
 
-    /// When the next one is late, spent or may be sent.
-    pub fn next(&self) -> f64 {
-        self.lates.next().min(self.spents.next()).min(self.owns.next())
+    /// When the next webhook expires, is exhausted or becomes sendable.
+    pub fn next_at(&self) -> f64 {
+        self.expiry_timers.next_at().min(self.exhaustion_timers.next_at()).min(self.sendable_timers.next_at())
     }
 
-    pub fn has(&self, id: u64) -> bool {
-        self.facts.contains_key(&id)
+    /// Whether a webhook is pending.
+    pub fn contains(&self, id: u64) -> bool {
+        self.entries.contains_key(&id)
     }
 
-    pub fn any_for(&self, dest: u64) -> bool {
-        self.lines.contains_key(&dest)
+    /// Whether any webhook of a destination is pending.
+    pub fn has_any_for(&self, destination: u64) -> bool {
+        self.by_destination.contains_key(&destination)
     }
 
-    /// How many of a destination may be sent.
-    pub fn waiting(&self, dest: u64) -> usize {
-        self.ready.get(&dest).into_iter().flat_map(|groups| groups.values()).map(|q| q.by_place.len()).sum()
+    /// The number of sendable webhooks of a destination.
+    pub fn sendable_count(&self, destination: u64) -> usize {
+        self.sendable
+            .get(&destination)
+            .into_iter()
+            .flat_map(|groups| groups.values())
+            .map(|queue| queue.by_sequence.len())
+            .sum()
     }
 
+    /// Whether no webhook is pending.
     pub fn is_empty(&self) -> bool {
-        self.lines.is_empty()
+        self.by_destination.is_empty()
     }
 
-    /// All of them, by destination and place.
+    /// All pending webhooks, by destination and sequence number.
     pub fn ids(&self) -> impl Iterator<Item = &u64> {
-        self.lines.values().flat_map(|l| l.values())
+        self.by_destination.values().flat_map(|ids| ids.values())
     }
 }
 
-/// Destinations with something to send, by whether and when one of their routes takes a call.
+/// Destinations with sendable webhooks and no calls in flight, by whether and when one of their routes admits
+/// a call.
 #[derive(Debug, Default)]
-pub(crate) struct Gates {
-    open: BTreeSet<u64>,
-    opens: Timers<u64>,
-    again: Timers<u64>,
+pub(crate) struct IdleDestinations {
+    available: BTreeSet<u64>,
+    availability_timers: Timers<u64>,
+    refresh_timers: Timers<u64>,
 }
 
-impl Gates {
-    /// A destination has a route that takes a call now; another one opens at `next`; and all of it is to be looked
-    /// at again at `again`.
-    pub fn set(&mut self, dest: u64, open: bool, next: f64, again: f64) {
-        if open {
-            self.open.insert(dest);
+impl IdleDestinations {
+    /// Records whether a route of a destination admits a call now, when the next of its other routes does,
+    /// and when the destination has to be evaluated again in any case.
+    pub fn set(&mut self, destination: u64, available: bool, next_available_at: f64, refresh_at: f64) {
+        if available {
+            self.available.insert(destination);
         } else {
-            self.open.remove(&dest);
+            self.available.remove(&destination);
         }
-        self.opens.set(dest, next);
-        self.again.set(dest, again);
+        self.availability_timers.set(destination, next_available_at);
+        self.refresh_timers.set(destination, refresh_at);
     }
 
-    /// Takes out a destination that is to be looked at again.
-    pub fn due(&mut self, now: f64) -> Option<u64> {
-        self.opens.due(now).or_else(|| self.again.due(now))
+    /// Removes the timer of a destination that has to be evaluated again, and returns the destination.
+    pub fn pop_due(&mut self, now: f64) -> Option<u64> {
+        self.availability_timers.pop_due(now).or_else(|| self.refresh_timers.pop_due(now))
     }
 
-    /// When the next route opens.
-    pub fn next(&self) -> f64 {
-        self.opens.next()
+    /// When the next route admits a call.
+    pub fn next_at(&self) -> f64 {
+        self.availability_timers.next_at()
     }
 
-    pub fn open(&self) -> &BTreeSet<u64> {
-        &self.open
+    /// The destinations where a route admits a call now.
+    pub fn available(&self) -> &BTreeSet<u64> {
+        &self.available
     }
 
-    /// Those that are open were looked at, and nothing can be sent until something changes.
-    pub fn seen(&mut self) {
-        self.open.clear();
+    /// Forgets the available destinations once nothing can be sent to them until something changes.
+    pub fn clear_available(&mut self) {
+        self.available.clear();
     }
 }
 
-/// Things in two sets each, by kind.
+/// Keys by kind, each in up to two sets of its kind.
 #[derive(Debug)]
-pub(crate) struct Kinds<K>(BTreeMap<K, [BTreeSet<K>; 2]>);
+pub(crate) struct KeysByKind<K>(BTreeMap<K, [BTreeSet<K>; 2]>);
 
-impl<K> Default for Kinds<K> {
+impl<K> Default for KeysByKind<K> {
     fn default() -> Self {
-        Kinds(BTreeMap::new())
+        KeysByKind(BTreeMap::new())
     }
 }
 
-impl<K: Ord + Clone> Kinds<K> {
-    /// Which of its kind's sets a thing is in from now on.
-    pub fn set(&mut self, kind: &K, key: &K, is_in: [bool; 2]) {
+impl<K: Ord + Clone> KeysByKind<K> {
+    /// Sets which of its kind's two sets contain a key.
+    pub fn set(&mut self, kind: &K, key: &K, membership: [bool; 2]) {
         if !self.0.contains_key(kind) {
             self.0.insert(kind.clone(), Default::default());
         }
         let sets = self.0.get_mut(kind).into_iter().flatten();
-        for (set, is_in) in sets.zip(is_in) {
-            if !is_in {
+        for (set, is_member) in sets.zip(membership) {
+            if !is_member {
                 set.remove(key);
             } else if !set.contains(key) {
                 set.insert(key.clone());
@@ -333,9 +352,9 @@
         }
     }
 
-    /// The first of all things in the set that `which` names for each kind.
-    pub fn first(&self, which: impl Fn(&K) -> Option<usize>) -> Option<K> {
-        let firsts = self.0.iter().filter_map(|(kind, sets)| sets.get(which(kind)?)?.first());
+    /// The smallest key of all kinds, looking for each kind in the set that `set_index` selects, if any.
+    pub fn first(&self, set_index: impl Fn(&K) -> Option<usize>) -> Option<K> {
+        let firsts = self.0.iter().filter_map(|(kind, sets)| sets.get(set_index(kind)?)?.first());
         firsts.min().cloned()
     }
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,14 +1,17 @@
-//! All decisions of a scalebarrow sender; `src/lib.rs` is the interface. After each input `settle` goes
-//! through `RULES` in order, from the top after every firing, until none fires.
+//! All decisions of a sender, as a rule engine; `src/lib.rs` is its interface. After each input, `run_rules`
+//! applies the first rule of `RULES` that matches, and starts over until none matches.
 //!
-//! The ordinary route of a webhook is the design's: gates, weighted score, argmax with a margin, hash ties,
-//! spill and the window (`docs/design.md`); it is in `routing`. Beside it stand these mechanisms:
-//! 1. `repeats`: one final answer in TTL; what may have run, by effect and group; key order and rest; restarts
-//! 2. `endpoint_list`: watch upkeep, drains
-//! 3. `waits`: waits; a share of each limit; batches
-//! 4. `cold_budget`: outages, a sender's share of the cold budget after one was seen, ramp to warm
-//! 5. `admission`, `connections`: who gets scarce slots and room; connections that are scarce or go stale
-//! 6. `retries`: attempt time-outs and further attempts
+//! `routing` selects the route of a webhook as `docs/design.md` describes it: availability, a weighted score,
+//! the best score within a margin, ties by hash, and a limit on the calls in flight per route. The other
+//! modules are:
+//! 1. `repeats`: exactly one final answer within the TTL; repeats of what may have run; ordering keys;
+//!    restarts
+//! 2. `endpoint_list`: the watch on the endpoint list, drains
+//! 3. `waits`: requested waits, this sender's share of each rate limit, batches
+//! 4. `cold_budget`: outages, this sender's share of the calls to a cold destination, warm-up
+//! 5. `admission`, `connections`: which webhooks get scarce slots and memory; scarce and stale connections
+//! 6. `retries`: attempt timeouts and retries
+//! 7. `wake`: when a rule can match without a further input
 
 mod admission;
 mod cold_budget;
@@ -20,202 +23,252 @@
 mod waits;
 mod wake;
 
-use crate::chance::{Chance, hash};
-use crate::index::{Facts, Gates, Held, Kinds, Moment, median};
+use crate::chance::{Rng, hash};
+use crate::index::{IdleDestinations, KeysByKind, OrderedTime, PendingEntry, PendingWebhooks, median};
 use crate::state::*;
 use crate::{ActionSink, ListUpdate, ListedEndpoint, NotSentReason, Outcome, RepeatSafety};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The design's minute: a route that was unused for so long is as if it were new.
-const AGE: f64 = 60.0;
+/// A route that was unused for this long is treated as new: the span for which `docs/design.md` trusts what
+/// is known.
+const ROUTE_MEMORY_SECS: f64 = 60.0;
 
+/// A condition, and the action that runs when it selects a target.
 struct Rule {
     name: &'static str,
-    when: fn(&Logic) -> Option<Pick>,
-    then: fn(&mut Logic, Pick, &mut dyn ActionSink),
+    condition: fn(&RuleEngine) -> Option<RuleTarget>,
+    action: fn(&mut RuleEngine, RuleTarget, &mut dyn ActionSink),
 }
 
+/// All rules, in order of precedence.
 const RULES: [Rule; 10] = [
-    Rule { name: "out-of-time", when: Logic::out_of_time, then: Logic::give_up },
-    Rule { name: "spent", when: Logic::spent, then: Logic::give_up },
-    Rule { name: "room", when: Logic::no_room, then: Logic::give_up },
-    Rule { name: "watch", when: Logic::watch_due, then: Logic::ask_list },
-    Rule { name: "age", when: Logic::aged, then: Logic::forget },
-    Rule { name: "trial", when: Logic::trial_due, then: Logic::send },
-    Rule { name: "send", when: Logic::sendable, then: Logic::send },
-    Rule { name: "stuck", when: Logic::stuck, then: Logic::call_off },
-    Rule { name: "links", when: Logic::spare_links, then: Logic::close_links },
-    Rule { name: "wake", when: Logic::wake_due, then: Logic::set_wake },
+    Rule { name: "expired", condition: RuleEngine::expired, action: RuleEngine::give_up },
+    Rule { name: "exhausted", condition: RuleEngine::exhausted, action: RuleEngine::give_up },
+    Rule { name: "overflow", condition: RuleEngine::overflow, action: RuleEngine::give_up },
+    Rule { name: "watch", condition: RuleEngine::watch_due, action: RuleEngine::request_list },
+    Rule { name: "unused-route", condition: RuleEngine::unused_route, action: RuleEngine::forget_route },
+    Rule { name: "probe", condition: RuleEngine::due_probe, action: RuleEngine::start_attempt },
+    Rule { name: "send", condition: RuleEngine::next_attempt, action: RuleEngine::start_attempt },
+    Rule { name: "overdue-call", condition: RuleEngine::overdue_call, action: RuleEngine::cancel_call },
+    Rule {
+        name: "close-idle",
+        condition: RuleEngine::idle_to_close,
+        action: RuleEngine::close_idle_connections,
+    },
+    Rule { name: "wake", condition: RuleEngine::wake_due, action: RuleEngine::schedule_wake },
 ];
 
+/// The state of one sender and its rules.
 #[derive(Default)]
-pub(crate) struct Logic {
+pub(crate) struct RuleEngine {
+    /// The time of the current input.
     pub now: f64,
-    number: u64,
-    senders: f64,
-    chance: Chance,
-    pub types: BTreeMap<Name, EventType>,
+    sender_index: u64,
+    sender_count: f64,
+    rng: Rng,
+    pub event_types: BTreeMap<Name, EventType>,
     webhooks: BTreeMap<u64, Webhook>,
-    key_lines: BTreeMap<Name, VecDeque<u64>>,
-    key_rests: BTreeMap<Name, f64>,
-    pub key_rest: f64,
-    pub kinds: BTreeMap<Name, (usize, bool)>,
-    pub watch: Watch,
+    /// The webhooks of each ordering key; only the front one may be sent.
+    key_queues: BTreeMap<Name, VecDeque<u64>>,
+    /// Until when the webhooks of an ordering key wait because an earlier attempt may still run.
+    key_cooldowns: BTreeMap<Name, f64>,
+    /// How long such a cooldown lasts, in seconds.
+    pub key_cooldown: f64,
+    /// For each kind of destination, webhooks in one call at most, and whether its endpoints are independent.
+    pub destination_kinds: BTreeMap<Name, (usize, bool)>,
+    pub list_watch: ListWatch,
     routes: BTreeMap<Name, Route>,
-    /// Routes with calls out, and how many are by destination.
-    active: BTreeSet<Name>,
-    out: BTreeMap<u64, usize>,
-    /// By kind: routes with idle connections where nothing waits for them, and those seldom used.
-    spare: Kinds<Name>,
-    /// By kind: until when no idle connection is kept, and calls delivered since a connect failed.
-    thrift: BTreeMap<Name, (f64, u32)>,
-    pub idle_for: f64,
-    dests: BTreeMap<u64, Vec<Name>>,
-    meters: BTreeMap<Scope, Meter>,
-    /// What the way to each zone costs.
-    pub ways: BTreeMap<Name, f64>,
-    /// The last limits that were told, wherever, the usual one, and when one was last used up.
-    told: VecDeque<f64>,
-    usual: f64,
-    used_up_at: f64,
-    pub cold: Cold,
-    held: Held<Group>,
-    /// Destinations with webhooks to send and no calls out.
-    gates: Gates,
-    pub caps: Caps,
-    busy: usize,
-    pub come_back: f64,
+    /// Routes with calls in flight.
+    active_routes: BTreeSet<Name>,
+    /// Calls in flight by destination.
+    calls_in_flight: BTreeMap<u64, usize>,
+    /// By kind of destination: routes with idle connections that no pending webhook needs, and those of them
+    /// that are called less often than the idle timeout.
+    unneeded_connections: KeysByKind<Name>,
+    /// By kind of destination: until when no idle connection is kept, and calls delivered since a connect
+    /// failed.
+    connection_scarcity: BTreeMap<Name, (f64, u32)>,
+    /// How long an unused connection stays open, in seconds.
+    pub idle_timeout: f64,
+    /// The endpoints of each destination.
+    endpoints: BTreeMap<u64, Vec<Name>>,
+    rate_limiters: BTreeMap<LimitScope, RateLimiter>,
+    /// Cost of the path to each zone.
+    pub zone_costs: BTreeMap<Name, f64>,
+    /// The last reported limits of all destinations, and their median.
+    recent_limits: VecDeque<f64>,
+    typical_limit: f64,
+    /// When a reported limit was last used up.
+    limit_used_up_at: f64,
+    pub cold_start: ColdStart,
+    pending: PendingWebhooks<WebhookGroup>,
+    idle_destinations: IdleDestinations,
+    pub limits: SenderLimits,
+    /// Calls in flight; each takes a slot.
+    used_slots: usize,
+    /// The longest delay that clients honor before they hand a webhook in again, in seconds.
+    pub max_retry_after: f64,
+    /// For each customer: its quota, the weight of value beyond it, and the times of recent webhooks.
     pub customers: BTreeMap<Name, (f64, f64, VecDeque<f64>)>,
-    retries: VecDeque<bool>,
-    /// The last calls of all routes: lost between good answers, or answered.
-    lost: VecDeque<bool>,
-    /// The same by whether the connection had stood idle: when, idle, lost.
-    stale: VecDeque<(f64, bool, bool)>,
-    current: BTreeMap<u64, Name>,
+    /// Whether recent retries were delivered.
+    retry_results: VecDeque<bool>,
+    /// Recent calls of all routes: true for one lost between two deliveries, false for a delivery.
+    recent_losses: VecDeque<bool>,
+    /// Recent calls: when each ended, whether its connection had been idle, and whether it was lost.
+    recent_connection_uses: VecDeque<(f64, bool, bool)>,
+    /// The route that each destination used last.
+    current_routes: BTreeMap<u64, Name>,
+    /// When the wake-up that was scheduled last is due.
     wake_at: Option<f64>,
-    aging: Ages,
-    pub closes_at: f64,
+    unused_routes: UnusedRoutes,
+    /// When the process will end.
+    pub shutdown_at: f64,
 }
 
-impl Logic {
-    pub fn new(now: f64, seed: u64, number: u64, senders: u64) -> Self {
-        let senders = senders.max(1) as f64;
-        let mut logic = Logic { now, number, senders, ..Logic::default() };
-        logic.chance = Chance::new(seed);
-        (logic.watch.within, logic.idle_for) = (f64::INFINITY, f64::INFINITY);
-        (logic.watch.ask_at, logic.aging.next) = (now, now);
-        (logic.closes_at, logic.used_up_at) = (f64::INFINITY, f64::NEG_INFINITY);
-        (logic.caps.slots, logic.caps.holds, logic.caps.attempts) = (1, 1, 1);
-        logic
+impl RuleEngine {
+    pub fn new(now: f64, seed: u64, sender_index: u64, sender_count: u64) -> Self {
+        let sender_count = sender_count.max(1) as f64;
+        let mut engine = RuleEngine { now, sender_index, sender_count, ..RuleEngine::default() };
+        engine.rng = Rng::new(seed);
+        (engine.list_watch.max_interval, engine.idle_timeout) = (f64::INFINITY, f64::INFINITY);
+        (engine.list_watch.request_at, engine.unused_routes.next_check_at) = (now, now);
+        (engine.shutdown_at, engine.limit_used_up_at) = (f64::INFINITY, f64::NEG_INFINITY);
+        (engine.limits.slots, engine.limits.max_pending, engine.limits.max_attempts) = (1, 1, 1);
+        engine
     }
 
-    pub fn settle(&mut self, out: &mut dyn ActionSink) {
-        // Every firing ends or sends a webhook or moves a time; the bound guards against a mistake there.
+    /// Applies rules until none matches.
+    pub fn run_rules(&mut self, actions: &mut dyn ActionSink) {
+        // Every action ends or sends a webhook or moves a time, so the loop ends; the bound guards against a
+        // bug there.
         let mut last = "";
         for _ in 0..100_000 {
-            self.refresh();
-            let found = RULES.iter().find_map(|r| (r.when)(self).map(|p| (r, p)));
-            let Some((rule, pick)) = found else {
-                if self.busy < self.caps.slots {
-                    self.gates.seen();
+            self.refresh_indexes();
+            let found = RULES.iter().find_map(|rule| (rule.condition)(self).map(|target| (rule, target)));
+            let Some((rule, target)) = found else {
+                if self.used_slots < self.limits.slots {
+                    self.idle_destinations.clear_available();
                 }
                 return;
             };
             last = rule.name;
-            (rule.then)(self, pick, out);
+            (rule.action)(self, target, actions);
         }
-        out.log(&format!("rules did not come to rest; the last was {last}"));
+        actions.log(&format!("rules still match after 100,000 steps; the last one was {last}"));
     }
 
-    /// Brings the indexes up to date: what a time has come for, and the destinations where something changed.
-    fn refresh(&mut self) {
+    /// Brings the indexes up to date: timers that are due, and destinations where something changed.
+    fn refresh_indexes(&mut self) {
         let now = self.now;
-        self.held.pass(now);
-        // What may still come back depends on the time alone then, and on each route's answers.
-        if self.closes_at < f64::INFINITY {
-            self.held.changed.extend(self.held.ready.keys());
+        self.pending.advance(now);
+        // Whether an attempt can end before the shutdown depends on the time and on each route's tail
+        // latency.
+        if self.shutdown_at < f64::INFINITY {
+            self.pending.changed.extend(self.pending.sendable.keys());
         }
-        while let Some(dest) = self.gates.due(now) {
-            self.held.changed.insert(dest);
+        while let Some(destination) = self.idle_destinations.pop_due(now) {
+            self.pending.changed.insert(destination);
         }
-        while let Some(dest) = self.held.changed.pop_first() {
-            self.look(dest);
+        while let Some(destination) = self.pending.changed.pop_first() {
+            self.refresh_destination(destination);
         }
-        while now >= self.aging.next
-            && let Some(ep) = self.aging.timers.due(now)
+        while now >= self.unused_routes.next_check_at
+            && let Some(endpoint) = self.unused_routes.timers.pop_due(now)
         {
-            self.aging.due.insert(ep);
+            self.unused_routes.due.insert(endpoint);
         }
     }
 
-    pub fn webhook(
-        &mut self, now: f64, id: u64, event_type: &str, dest: u64, key: Option<&str>, customer: Option<&str>,
-        left: f64,
+    /// Accepts a webhook whose TTL ends in `ttl_left` seconds.
+    pub fn accept(
+        &mut self, now: f64, id: u64, event_type: &str, destination: u64, ordering_key: Option<&str>,
+        customer: Option<&str>, ttl_left: f64,
     ) {
         self.now = now;
-        let ttl_at = now + left;
-        let t = self.types.get(event_type);
-        let target_at = t.map_or(now, |t| ttl_at - t.ttl + t.target_latency);
-        let key = key.filter(|_| t.is_some_and(|t| t.ordered)).map(Name::from);
-        if let Some(k) = &key {
-            self.key_lines.entry(k.clone()).or_default().push_back(id);
+        let ttl_deadline = now + ttl_left;
+        let settings = self.event_types.get(event_type);
+        let target_deadline =
+            settings.map_or(now, |settings| ttl_deadline - settings.ttl + settings.target_latency);
+        let ordering_key =
+            ordering_key.filter(|_| settings.is_some_and(|settings| settings.ordered)).map(Name::from);
+        if let Some(key) = &ordering_key {
+            self.key_queues.entry(key.clone()).or_default().push_back(id);
         }
-        let (event_type, over) = (event_type.into(), customer.is_some_and(|c| self.over_share(c)));
-        // No attempt is left for a destination that was never listed.
-        let tries = if self.dests.contains_key(&dest) { 0 } else { u32::MAX };
-        let w = Webhook { event_type, dest, key, over, target_at, ttl_at, tries, ..Webhook::default() };
-        self.webhooks.insert(id, w);
-        self.hold(id);
+        let (event_type, over_quota) =
+            (event_type.into(), customer.is_some_and(|customer| self.exceeds_quota(customer)));
+        // A destination that was never listed gets no attempts.
+        let attempts = if self.endpoints.contains_key(&destination) { 0 } else { u32::MAX };
+        let webhook = Webhook {
+            event_type,
+            destination,
+            ordering_key,
+            over_quota,
+            target_deadline,
+            ttl_deadline,
+            attempts,
+            ..Webhook::default()
+        };
+        self.webhooks.insert(id, webhook);
+        self.make_pending(id);
     }
 
-    pub fn outcome(
-        &mut self, now: f64, id: u64, ep: &str, outcome: Outcome, took: f64, ended: bool,
-        report: Option<(f64, f64)>,
+    /// An attempt ended after `duration` seconds.
+    pub fn attempt_ended(
+        &mut self, now: f64, id: u64, endpoint: &str, outcome: Outcome, duration: f64, is_final: bool,
+        limit_report: Option<(f64, f64)>,
     ) {
         self.now = now;
-        // The first of several webhooks in a call stands for all.
-        let call = self.routes.get(ep).and_then(|r| r.calls.iter().find(|c| c.webhooks.contains(&id)));
-        let sent_at = call.filter(|c| !c.judged).map(|c| c.at);
+        // Only the first webhook of a call that reports its outcome counts for the destination's health.
+        let call = self
+            .routes
+            .get(endpoint)
+            .and_then(|route| route.calls.iter().find(|call| call.webhook_ids.contains(&id)));
+        let sent_at = call.filter(|call| !call.evaluated).map(|call| call.sent_at);
         if sent_at.is_some() && outcome == Outcome::Delivered {
-            self.watch_for_return(ep);
+            self.detect_recovery(endpoint);
         }
-        let full = self.end_call(id, ep, outcome, took, report);
+        let limit_reached = self.record_call_end(id, endpoint, outcome, duration, limit_report);
         if let Some(sent_at) = sent_at {
-            self.watch_for_outage(ep, outcome, sent_at);
+            self.detect_outage(endpoint, outcome, sent_at);
         }
-        let Some(w) = self.webhooks.get_mut(&id) else { return };
-        if w.out.take().is_none() {
+        let Some(webhook) = self.webhooks.get_mut(&id) else { return };
+        if webhook.in_flight_to.take().is_none() {
             return;
         }
-        let may_run =
+        let may_have_run =
             matches!(outcome, Outcome::Failed | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
-        if may_run && w.ran.is_none() {
-            let zone = self.routes.get(ep).map_or_else(|| Name::from(""), |r| r.zone.clone());
-            w.ran = Some((zone, now - took));
+        if may_have_run && webhook.may_have_run.is_none() {
+            let zone = self.routes.get(endpoint).map_or_else(|| Name::from(""), |route| route.zone.clone());
+            webhook.may_have_run = Some((zone, now - duration));
         }
-        // A key rests after an attempt that may still run; the one that has the turn need not wait.
-        let rests = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
-        self.key_rests.extend(w.key.clone().filter(|_| rests).map(|k| (k, now + self.key_rest)));
-        if w.tries > 1 {
-            self.retries.push_back(outcome == Outcome::Delivered);
-            // 20 further attempts: enough to tell one in ten from one in two.
-            self.retries.drain(..self.retries.len().saturating_sub(20));
+        // After an attempt that may still run its key has a cooldown; the front webhook of the key does not
+        // wait for it.
+        let may_still_run = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
+        self.key_cooldowns.extend(
+            webhook.ordering_key.clone().filter(|_| may_still_run).map(|key| (key, now + self.key_cooldown)),
+        );
+        if webhook.attempts > 1 {
+            self.retry_results.push_back(outcome == Outcome::Delivered);
+            // 20 retries: enough to tell a success rate of one in ten from one in two.
+            self.retry_results.drain(..self.retry_results.len().saturating_sub(20));
         }
-        if ended || w.ended {
-            self.close(id);
+        if is_final || webhook.withdrawn {
+            self.finish(id);
             return;
         }
-        // Further attempts are 0.1 s apart (a short stall) if all recent ones succeeded, up to 2 s if none.
-        let good = self.retries.iter().filter(|g| **g).count() + 1;
-        let pause = (0.1 * (self.retries.len() + 1) as f64 / good as f64).min(2.0);
-        let yields = if full { self.yields(id) * (0.5 + self.chance.draw()) } else { 0.0 };
-        self.webhooks.entry(id).and_modify(|w| w.not_before = now + pause.max(yields));
-        self.hold(id);
+        // Retries are 0.1 s apart (a short stall) if all recent ones succeeded, up to 2 s if none did.
+        let delivered = self.retry_results.iter().filter(|delivered| **delivered).count() + 1;
+        let pause = (0.1 * (self.retry_results.len() + 1) as f64 / delivered as f64).min(2.0);
+        let yielding =
+            if limit_reached { self.yield_duration(id) * (0.5 + self.rng.next_f64()) } else { 0.0 };
+        self.webhooks.entry(id).and_modify(|webhook| webhook.not_before = now + pause.max(yielding));
+        self.make_pending(id);
     }
 
-    pub fn woken(&mut self, now: f64, _handle: u64) {
+    /// A scheduled wake-up is due.
+    pub fn wake(&mut self, now: f64, _handle: u64) {
         self.now = now;
-        self.wake_at = self.wake_at.filter(|t| now < t - 1e-6);
+        self.wake_at = self.wake_at.filter(|wake_at| now < wake_at - 1e-6);
     }
 }
 
--- a/src/logic/admission.rs
+++ b/src/logic/admission.rs
@@ -1,49 +1,58 @@
-//! Which webhooks are turned away or go first: room, customers' shares, and what a delivery is still worth.
+//! Which webhooks are rejected when too many are pending and which are sent first: customers' quotas and the
+//! value of a delivery.
 
 use super::*;
 
-impl Logic {
-    /// The holding limit is near: the held webhook with the least still to win makes room.
-    pub(super) fn no_room(&self) -> Option<Pick> {
-        if self.webhooks.len() < self.caps.holds.max(2) {
+impl RuleEngine {
+    /// At the limit of pending webhooks, the pending one with the least value left is given up.
+    pub(super) fn overflow(&self) -> Option<RuleTarget> {
+        if self.webhooks.len() < self.limits.max_pending.max(2) {
             return None;
         }
-        let worth = |id: &&u64| self.webhooks.get(id).map_or(0.0, |w| self.value(w, self.now + 1.0));
+        let worth =
+            |id: &&u64| self.webhooks.get(id).map_or(0.0, |webhook| self.value_at(webhook, self.now + 1.0));
         let least = |a: &&u64, b: &&u64| worth(a).total_cmp(&worth(b));
-        self.held.ids().min_by(least).map(|id| Pick::Webhook(*id))
+        self.pending.ids().min_by(least).map(|id| RuleTarget::Webhook(*id))
     }
 
-    pub(super) fn over_share(&mut self, customer: &str) -> bool {
-        let (now, senders) = (self.now, self.senders);
-        let Some((quota, _, seen)) = self.customers.get_mut(customer) else { return false };
-        seen.push_back(now);
-        seen.retain(|t| *t >= now - 2.0);
-        // Twice an even part of the share over two seconds: senders carry unequal traffic.
-        seen.len() as f64 > (*quota * 2.0 * 2.0 / senders).max(4.0)
+    /// Counts a webhook of a customer, and tells whether it exceeds the customer's quota.
+    pub(super) fn exceeds_quota(&mut self, customer: &str) -> bool {
+        let (now, sender_count) = (self.now, self.sender_count);
+        let Some((quota, _, accepted)) = self.customers.get_mut(customer) else { return false };
+        accepted.push_back(now);
+        accepted.retain(|accepted_at| *accepted_at >= now - 2.0);
+        // Twice an even part of the quota over two seconds, as the senders' traffic is uneven.
+        accepted.len() as f64 > (*quota * 2.0 * 2.0 / sender_count).max(4.0)
     }
 
-    /// What a delivery at `at` would still be worth.
-    pub(super) fn value(&self, w: &Webhook, at: f64) -> f64 {
-        let Some(t) = self.types.get(&w.event_type) else { return 0.0 };
-        let past = at - w.target_at;
-        let share = if past <= 0.0 {
+    /// The value of a delivery at a time.
+    pub(super) fn value_at(&self, webhook: &Webhook, delivery_at: f64) -> f64 {
+        let Some(event_type) = self.event_types.get(&webhook.event_type) else { return 0.0 };
+        let delay = delivery_at - webhook.target_deadline;
+        let share = if delay <= 0.0 {
             1.0
-        } else if at > w.ttl_at {
+        } else if delivery_at > webhook.ttl_deadline {
             0.0
-        } else if t.value_halves {
-            0.5_f64.powf(past / t.target_latency.max(0.001)).max(t.late_value_share)
+        } else if event_type.value_halves {
+            0.5_f64.powf(delay / event_type.target_latency.max(0.001)).max(event_type.late_value_share)
         } else {
-            (1.0 - (1.0 - t.late_value_share) * past / (w.ttl_at - w.target_at).max(0.001))
-                .max(t.late_value_share)
+            (1.0 - (1.0 - event_type.late_value_share) * delay
+                / (webhook.ttl_deadline - webhook.target_deadline).max(0.001))
+            .max(event_type.late_value_share)
         };
-        // Value beyond a customer's share counts little; all customers' parts are alike in the settings.
-        let part = self.customers.values().next().map_or(1.0, |c| c.1);
-        t.value * share * if w.over { part } else { 1.0 }
+        // Value beyond a customer's quota counts less; the settings have one weight for all customers.
+        let weight = self.customers.values().next().map_or(1.0, |customer| customer.1);
+        event_type.value * share * if webhook.over_quota { weight } else { 1.0 }
     }
 
-    /// Order of service, least first: those in time for their target, dearest and soonest; then late ones.
-    pub(super) fn rank(&self, w: &Webhook, usual: f64) -> Rank {
-        let at = self.now + usual;
-        (u8::from(at > w.target_at), -self.value(w, at), w.target_at)
+    /// The sending order of a webhook whose delivery takes `usual_latency` seconds, least first: those that
+    /// can still meet their target, by value, then by deadline; late ones after them.
+    pub(super) fn send_rank(&self, webhook: &Webhook, usual_latency: f64) -> SendRank {
+        let delivery_at = self.now + usual_latency;
+        (
+            u8::from(delivery_at > webhook.target_deadline),
+            -self.value_at(webhook, delivery_at),
+            webhook.target_deadline,
+        )
     }
 }
--- a/src/logic/cold_budget.rs
+++ b/src/logic/cold_budget.rs
@@ -1,136 +1,171 @@
-//! Outages, and what a destination that returns from one is sent by all senders together.
+//! Outages, and how many calls all senders together make to a destination that returns from one.
 
 use super::*;
 
-/// A destination where so many calls failed, over so many seconds, and none went well is out.
+/// A scope is in an outage if at least this many calls failed over more than this many seconds with none
+/// delivered.
 const OUTAGE_CALLS: u32 = 3;
-const OUTAGE_SPAN: f64 = 2.0;
-/// So many that failed one after another are no chance, however quickly they did.
-const MANY_OUTAGE_CALLS: u32 = 8;
+const OUTAGE_SECS: f64 = 2.0;
+/// This many consecutive failures are no coincidence, however short the time.
+const OUTAGE_CALLS_AT_ONCE: u32 = 8;
 
-impl Logic {
-    /// Calls a second that all senders may make together at a scope back from an outage, if `wanting` want it.
-    pub(super) fn cold_rate(&self, r: &Route, m: Option<&Meter>, wanting: f64) -> f64 {
-        let part = self.cold.part(r.back.map_or(0.0, |back| self.now - back));
-        // A limit that was cut does not make the destination weaker: what is listed counts.
-        let sure = self.rate(r, m).max(r.rate);
-        // A call a second where no rate is known: that must not shut a route for good.
-        let budget = if sure > 0.0 { sure } else { 1.0 }
-            * part
-            * self.cold.overload_multiple
-            * self.cold.overload_span;
-        // What pushes it over; a third of that is left to senders that may not have seen the outage.
-        let most = (budget + 2.0 * budget.sqrt() + 2.0) * (wanting / self.senders).max(2.0 / 3.0);
-        // Calls that come independently stay within a deviation of their mean, as fewer want it than are counted;
-        // those of a few senders stay within one call of each.
-        let mean = (((1.0 + 4.0 * most).sqrt() - 1.0) / 2.0).powi(2);
-        mean.max(most - wanting).min(budget) / self.cold.overload_span
+impl RuleEngine {
+    /// Calls per second that all senders together may make to a cold scope, if `wanting` senders have
+    /// webhooks for it.
+    pub(super) fn cold_call_rate(&self, route: &Route, limiter: Option<&RateLimiter>, wanting: f64) -> f64 {
+        let capacity_share = self
+            .cold_start
+            .capacity_share(route.recovered_at.map_or(0.0, |recovered_at| self.now - recovered_at));
+        // A reduced limit does not make the destination weaker: the listed rate counts.
+        let full_rate = self.rate_limit(route, limiter).max(route.listed_rate);
+        // One call per second where no rate is known, as that must not block a route forever.
+        let budget = if full_rate > 0.0 { full_rate } else { 1.0 }
+            * capacity_share
+            * self.cold_start.overload_multiple
+            * self.cold_start.overload_span;
+        // What overloads it; a third of that is left to senders that may not have noticed the outage.
+        let overload = (budget + 2.0 * budget.sqrt() + 2.0) * (wanting / self.sender_count).max(2.0 / 3.0);
+        // Independent calls stay within one standard deviation of their mean, since fewer senders want the
+        // scope than are counted; those of a few senders stay within one call of each.
+        let mean = (((1.0 + 4.0 * overload).sqrt() - 1.0) / 2.0).powi(2);
+        mean.max(overload - wanting).min(budget) / self.cold_start.overload_span
     }
 
-    /// Seconds until each sender that may want a scope back from an outage, or still in one, has had a call within
-    /// the cold budget: no more of them than webhooks that came since, and are not over yet.
-    pub(super) fn turn(&self, r: &Route, m: Option<&Meter>, since: f64) -> f64 {
-        let rate = if r.rate > 0.0 { r.rate } else { self.rate(r, m) };
-        let ttl = self.types.values().map(|t| t.ttl).fold(0.0, f64::max);
-        // A sender that saw calls fail does not know for how long others have: since it saw one go well.
-        let failing = m.filter(|_| r.outage || r.bad_row > 0).map(|m| m.well_at.unwrap_or(f64::NEG_INFINITY));
-        let since = failing.map_or(since, |well_at| since.min(well_at));
-        // Twice what the rate lets expect: few calls from many senders bunch by chance.
-        let came = 2.0 * rate * (self.now - since).clamp(0.0, ttl) + 1.0;
-        let wanting = came.min(self.senders);
-        let wait = wanting / self.cold_rate(r, m, wanting);
-        // Once it answers the budget grows meanwhile; what is taken until a time is a quadratic in it.
-        let Cold { initial_share, warm_up, .. } = self.cold;
-        let grows = |back: f64| {
+    /// Seconds until each sender that may want a scope that is cold or in an outage has made one call within
+    /// the cold budget. No more senders are counted than webhooks arrived since the failures began and have
+    /// not expired.
+    pub(super) fn turn_duration(&self, route: &Route, limiter: Option<&RateLimiter>, since: f64) -> f64 {
+        let rate = if route.listed_rate > 0.0 { route.listed_rate } else { self.rate_limit(route, limiter) };
+        let longest_ttl = self.event_types.values().map(|event_type| event_type.ttl).fold(0.0, f64::max);
+        // Other senders may have seen failures earlier than this one: possibly since its last delivery.
+        let last_delivered_at = limiter
+            .filter(|_| route.cold || route.consecutive_failures > 0)
+            .map(|limiter| limiter.last_delivered_at.unwrap_or(f64::NEG_INFINITY));
+        let since = last_delivered_at.map_or(since, |last_delivered_at| since.min(last_delivered_at));
+        // Twice the expected number: the few calls of many senders can arrive clustered.
+        let arrived = 2.0 * rate * (self.now - since).clamp(0.0, longest_ttl) + 1.0;
+        let wanting = arrived.min(self.sender_count);
+        let wait = wanting / self.cold_call_rate(route, limiter, wanting);
+        // After the recovery the budget grows linearly, so the calls made until a time are a quadratic
+        // function of it.
+        let ColdStart { initial_share, warm_up, .. } = self.cold_start;
+        let growth_after = |recovered_at: f64| {
             (1.0 - initial_share)
-                / (initial_share * warm_up + (1.0 - initial_share) * (self.now - back)).max(0.001)
+                / (initial_share * warm_up + (1.0 - initial_share) * (self.now - recovered_at)).max(0.001)
         };
-        let more = r.back.map_or(0.0, grows);
-        if more > 0.0 { ((1.0 + 2.0 * more * wait).sqrt() - 1.0) / more } else { wait }
+        let growth = route.recovered_at.map_or(0.0, growth_after);
+        if growth > 0.0 { ((1.0 + 2.0 * growth * wait).sqrt() - 1.0) / growth } else { wait }
     }
 
-    pub(super) fn routes_of<'a>(&'a self, scope: &'a Scope) -> impl Iterator<Item = (&'a Name, &'a Route)> {
-        let all = self.dests.get(&scope.0).into_iter().flatten();
-        let own = all.filter(|ep| scope.1.as_ref().is_none_or(|own| own == *ep));
-        own.filter_map(|ep| Some((ep, self.routes.get(ep)?)))
+    /// The routes that share a scope.
+    pub(super) fn routes_in<'a>(
+        &'a self, scope: &'a LimitScope,
+    ) -> impl Iterator<Item = (&'a Name, &'a Route)> {
+        let all = self.endpoints.get(&scope.0).into_iter().flatten();
+        let own = all.filter(|endpoint| scope.1.as_ref().is_none_or(|own| own == *endpoint));
+        own.filter_map(|endpoint| Some((endpoint, self.routes.get(endpoint)?)))
     }
 
-    /// Each sender in its turn, as with trials: many may hold a webhook when a cold scope takes calls again.
-    /// What was put off for longer while nobody knew comes earlier once it answers; a circuit's pause stays.
-    pub(super) fn come_in_turn(&mut self, scope: &Scope, answers: bool) {
+    /// Spreads the next calls of all senders to a cold scope over time, as many may have webhooks pending for
+    /// it. Once the scope `answers`, calls and probes that were delayed for longer move forward, but not
+    /// before the probe pause.
+    pub(super) fn stagger_cold_calls(&mut self, scope: &LimitScope, answers: bool) {
         let now = self.now;
-        let cold = self.routes_of(scope).filter(|(_, r)| r.outage).map(|(ep, _)| ep.clone());
-        for ep in cold.collect::<Vec<_>>() {
-            let jitter = self.chance.draw();
-            self.routes.entry(ep.clone()).and_modify(|r| r.back = r.back.or(Some(now).filter(|_| answers)));
-            let turn = self.turn(&self.routes[&ep], self.meters.get(scope), now - 4.0);
+        let cold =
+            self.routes_in(scope).filter(|(_, route)| route.cold).map(|(endpoint, _)| endpoint.clone());
+        for endpoint in cold.collect::<Vec<_>>() {
+            let jitter = self.rng.next_f64();
+            self.routes.entry(endpoint.clone()).and_modify(|route| {
+                route.recovered_at = route.recovered_at.or(Some(now).filter(|_| answers))
+            });
+            let turn = self.turn_duration(&self.routes[&endpoint], self.rate_limiters.get(scope), now - 4.0);
             let due = now + turn * (0.2 + 1.6 * jitter);
             let latest = if answers { due } else { f64::INFINITY };
-            let m = self.meters.entry(scope.clone()).or_default();
-            m.cold_due = if m.cold_due < now { due } else { m.cold_due.min(latest) };
-            let put_off = |r: &mut Route| r.trial_at = r.trial_at.min(latest.max(now + r.cooling));
-            self.routes.entry(ep).and_modify(put_off);
+            let limiter = self.rate_limiters.entry(scope.clone()).or_default();
+            limiter.next_cold_call_at =
+                if limiter.next_cold_call_at < now { due } else { limiter.next_cold_call_at.min(latest) };
+            let move_forward =
+                |route: &mut Route| route.probe_at = route.probe_at.min(latest.max(now + route.probe_pause));
+            self.routes.entry(endpoint).and_modify(move_forward);
         }
     }
 
-    /// Calls to a destination got lost wherever they went: an outage, though no route had a row of three.
-    pub(super) fn all_failing(&self, scope: &Scope) -> bool {
-        let here = || self.routes_of(scope).map(|(_, r)| r);
-        // Three as for one route; two seconds, since what was sent then tells of the same moment.
-        let fine = |r: &Route| r.samples.iter().any(|s| s.good && s.at - s.took >= self.now - 2.0);
-        // Where each of many has less than a call in that time, two more from each would push it over.
-        let rate = here().map(|r| self.rate(r, self.meters.get(scope))).fold(0.0, f64::max);
-        let enough = if 2.0 * rate < self.senders { 1 } else { 3 };
-        here().map(|r| r.bad_row).sum::<u32>() >= enough && !here().any(fine)
+    /// Whether calls fail at all routes of a scope: an outage, although no single route had three consecutive
+    /// failures.
+    pub(super) fn all_routes_failing(&self, scope: &LimitScope) -> bool {
+        let routes = || self.routes_in(scope).map(|(_, route)| route);
+        // Three failures as for a single route, none delivered of those sent in the two seconds before, which
+        // tell of the same moment.
+        let healthy = |route: &Route| {
+            route
+                .samples
+                .iter()
+                .any(|sample| sample.delivered && sample.ended_at - sample.duration >= self.now - 2.0)
+        };
+        // Where each of many senders makes less than one call in that time, two more from each would overload
+        // it.
+        let rate =
+            routes().map(|route| self.rate_limit(route, self.rate_limiters.get(scope))).fold(0.0, f64::max);
+        let enough = if 2.0 * rate < self.sender_count { 1 } else { 3 };
+        routes().map(|route| route.consecutive_failures).sum::<u32>() >= enough && !routes().any(healthy)
     }
 
-    /// A call is back that was sent at `sent_at`. Calls were made for a while, or in numbers, and none went well: an outage.
-    /// What was sent before the first of them failed counts with it, as one event may end many calls.
-    pub(super) fn watch_for_outage(&mut self, ep: &str, outcome: Outcome, sent_at: f64) {
-        let Some((ep, r)) = self.routes.get_key_value(ep) else { return };
-        let (scope, now) = (Self::scope(ep, r), self.now);
-        let m = self.meters.entry(scope.clone()).or_default();
+    /// Detects an outage when a call sent at `sent_at` ends: calls failed for a while, or many of them, and
+    /// none was delivered. Calls sent before the first failure count together with it, as one event can end
+    /// many calls.
+    pub(super) fn detect_outage(&mut self, endpoint: &str, outcome: Outcome, sent_at: f64) {
+        let Some((endpoint, route)) = self.routes.get_key_value(endpoint) else { return };
+        let (scope, now) = (Self::limit_scope(endpoint, route), self.now);
+        let limiter = self.rate_limiters.entry(scope.clone()).or_default();
         match outcome {
-            Outcome::Delivered => return m.failing = None,
+            Outcome::Delivered => return limiter.failures = None,
             Outcome::Moot(_) => return,
             _ => {}
         }
-        // A limit that is used up turns calls away in a row as well; that has paces of its own.
-        let lost = u32::from(!matches!(outcome, Outcome::Full(_)));
-        let failing = match m.failing {
-            None => Failing { since: now, calls: 1, lost },
-            Some(f) if sent_at < f.since => f,
-            Some(f) => Failing { calls: f.calls + 1, lost: f.lost + lost, ..f },
+        // A limit that is used up causes consecutive refusals too; those have their own pacing.
+        let not_refused = u32::from(!matches!(outcome, Outcome::Full(_)));
+        let failures = match limiter.failures {
+            None => FailureRun { since: now, calls: 1, not_refused },
+            Some(run) if sent_at < run.since => run,
+            Some(run) => {
+                FailureRun { calls: run.calls + 1, not_refused: run.not_refused + not_refused, ..run }
+            }
         };
-        m.failing = Some(failing);
-        let known = self.routes_of(&scope).all(|(_, r)| r.outage && r.back.is_none());
-        let lasts = failing.calls >= OUTAGE_CALLS && now - failing.since > OUTAGE_SPAN;
-        if (lasts || failing.lost >= MANY_OUTAGE_CALLS) && !known {
-            self.mark_outage(&scope, failing.since);
-            self.come_in_turn(&scope, false);
+        limiter.failures = Some(failures);
+        let known = self.routes_in(&scope).all(|(_, route)| route.cold && route.recovered_at.is_none());
+        let lasts = failures.calls >= OUTAGE_CALLS && now - failures.since > OUTAGE_SECS;
+        if (lasts || failures.not_refused >= OUTAGE_CALLS_AT_ONCE) && !known {
+            self.mark_cold(&scope, failures.since);
+            self.stagger_cold_calls(&scope, false);
         }
     }
 
-    /// A call went well where others were turned away for a while: it was out until just now, though the tries that were
-    /// put off left too few refusals to tell.
-    pub(super) fn watch_for_return(&mut self, ep: &str) {
-        let Some((ep, r)) = self.routes.get_key_value(ep) else { return };
-        let scope = Self::scope(ep, r);
-        let failing = self.meters.get(&scope).and_then(|m| m.failing);
-        let Some(failing) = failing.filter(|f| f.calls - f.lost >= OUTAGE_CALLS) else { return };
-        if self.now - failing.since > OUTAGE_SPAN && !self.routes_of(&scope).any(|(_, r)| r.outage) {
-            self.mark_outage(&scope, failing.since);
+    /// Detects on a delivery that a scope which refused calls for a while was in an outage until just now.
+    /// The calls were delayed so much that there were too few refusals to detect the outage earlier.
+    pub(super) fn detect_recovery(&mut self, endpoint: &str) {
+        let Some((endpoint, route)) = self.routes.get_key_value(endpoint) else { return };
+        let scope = Self::limit_scope(endpoint, route);
+        let failures = self.rate_limiters.get(&scope).and_then(|limiter| limiter.failures);
+        let Some(failures) = failures.filter(|run| run.calls - run.not_refused >= OUTAGE_CALLS) else {
+            return;
+        };
+        if self.now - failures.since > OUTAGE_SECS && !self.routes_in(&scope).any(|(_, route)| route.cold) {
+            self.mark_cold(&scope, failures.since);
         }
     }
 
-    /// An outage was seen: routes of its scope where no call sent after `since` went well come back cold.
-    pub(super) fn mark_outage(&mut self, scope: &Scope, since: f64) {
-        let all = || self.dests.get(&scope.0).map_or(&[][..], Vec::as_slice);
-        for ep in scope.1.as_ref().map_or_else(all, std::slice::from_ref) {
-            if let Some(r) = self.routes.get_mut(ep)
-                && !r.samples.iter().any(|s| s.good && s.at - s.took >= since)
+    /// Marks the routes of a scope as in an outage, and cold afterwards, unless a call sent at or after
+    /// `since` was delivered there.
+    pub(super) fn mark_cold(&mut self, scope: &LimitScope, since: f64) {
+        let all = || self.endpoints.get(&scope.0).map_or(&[][..], Vec::as_slice);
+        for endpoint in scope.1.as_ref().map_or_else(all, std::slice::from_ref) {
+            if let Some(route) = self.routes.get_mut(endpoint)
+                && !route
+                    .samples
+                    .iter()
+                    .any(|sample| sample.delivered && sample.ended_at - sample.duration >= since)
             {
-                (r.outage, r.back) = (true, None);
+                (route.cold, route.recovered_at) = (true, None);
             }
         }
     }
--- a/src/logic/endpoint_list.rs
+++ b/src/logic/endpoint_list.rs
@@ -1,113 +1,144 @@
-//! The endpoint list: the watch on it, drains, new endpoints, and routes that are forgotten.
+//! The endpoint list: the watch on it, new, draining and deleted endpoints, and routes that are forgotten.
 
 use super::*;
 
-impl Logic {
-    pub fn set_list(&mut self, ask: bool, within: f64, pause: f64) {
-        let first = ask && !std::mem::replace(&mut self.watch.ask, ask);
-        (self.watch.within, self.watch.pause) = (within, pause);
-        self.watch.ask_at += if first { self.list_turn() } else { 0.0 };
+impl RuleEngine {
+    /// Sets whether the watch has to be requested, and how often. The first request is delayed by a random
+    /// time.
+    pub fn set_list_watch(&mut self, required: bool, max_interval: f64, max_retry_pause: f64) {
+        let first = required && !std::mem::replace(&mut self.list_watch.required, required);
+        (self.list_watch.max_interval, self.list_watch.max_retry_pause) = (max_interval, max_retry_pause);
+        self.list_watch.request_at += if first { self.list_request_delay() } else { 0.0 };
     }
 
-    pub fn list(&mut self, now: f64, mode: ListUpdate, entries: &[ListedEndpoint]) {
+    /// Applies an update of the endpoint list, or the failure to get one.
+    pub fn update_list(&mut self, now: f64, update: ListUpdate, entries: &[ListedEndpoint]) {
         self.now = now;
-        match mode {
+        match update {
             ListUpdate::Refused => {
-                // This does not say whether the watch stands: it is asked for again, less often each time.
-                self.watch.watching = false;
-                self.watch.refusals += 1;
-                // Three quarters and a quarter of the longest pause at most.
-                let step = (0.4 * f64::from(1 << self.watch.refusals.min(6))).min(self.watch.pause / 2.0);
-                let wait = step * (0.5 + self.chance.draw());
-                self.watch.ask_at = now + wait + self.list_turn().min(self.watch.pause / 4.0);
+                // Whether the watch still exists is unknown: it is requested again, with exponential backoff.
+                self.list_watch.active = false;
+                self.list_watch.consecutive_refusals += 1;
+                // The backoff takes at most three quarters of the longest pause, the random delay the other
+                // quarter.
+                let step = (0.4 * f64::from(1 << self.list_watch.consecutive_refusals.min(6)))
+                    .min(self.list_watch.max_retry_pause / 2.0);
+                let pause = step * (0.5 + self.rng.next_f64());
+                self.list_watch.request_at =
+                    now + pause + self.list_request_delay().min(self.list_watch.max_retry_pause / 4.0);
                 return;
             }
             ListUpdate::Remembered => {}
             ListUpdate::Changes | ListUpdate::Whole => {
-                (self.watch.watching, self.watch.refusals) = (self.watch.ask, 0)
+                (self.list_watch.active, self.list_watch.consecutive_refusals) = (self.list_watch.required, 0)
             }
         }
-        if mode != ListUpdate::Changes {
-            for (ep, r) in &mut self.routes {
-                r.ready = false;
-                self.aging.timers.set(ep.clone(), r.used + AGE);
+        if update != ListUpdate::Changes {
+            for (endpoint, route) in &mut self.routes {
+                route.ready = false;
+                self.unused_routes.timers.set(endpoint.clone(), route.last_used_at + ROUTE_MEMORY_SECS);
             }
-            self.held.changed.extend(self.held.ready.keys());
+            self.pending.changed.extend(self.pending.sendable.keys());
         }
-        for e in entries {
-            let (batch, apart) = self.kinds.get(e.destination_kind).copied().unwrap_or((1, false));
-            if !self.routes.contains_key(e.endpoint) {
-                let ep: Name = e.endpoint.into();
-                self.dests.entry(e.destination).or_default().push(ep.clone());
-                let (zone, kind, dest) = (e.zone.into(), e.destination_kind.into(), e.destination);
-                let (answered, used, window) = (now, now, self.first_window());
-                let mut r =
-                    Route { dest, kind, zone, batch, apart, window, answered, used, ..Route::default() };
-                r.way = self.ways.get(&r.zone).copied().unwrap_or(0.0);
-                (r.slow, r.score) = (Self::slow_end(&r.samples), Self::score(&r.samples));
-                self.routes.insert(ep, r);
+        for entry in entries {
+            let (max_batch, independent) =
+                self.destination_kinds.get(entry.destination_kind).copied().unwrap_or((1, false));
+            if !self.routes.contains_key(entry.endpoint) {
+                let endpoint: Name = entry.endpoint.into();
+                self.endpoints.entry(entry.destination).or_default().push(endpoint.clone());
+                let (zone, destination_kind, destination) =
+                    (entry.zone.into(), entry.destination_kind.into(), entry.destination);
+                let (last_answer_at, last_used_at, window) = (now, now, self.initial_window());
+                let mut route = Route {
+                    destination,
+                    destination_kind,
+                    zone,
+                    max_batch,
+                    independent,
+                    window,
+                    last_answer_at,
+                    last_used_at,
+                    ..Route::default()
+                };
+                route.zone_cost = self.zone_costs.get(&route.zone).copied().unwrap_or(0.0);
+                (route.tail_latency, route.health_score) =
+                    (Self::tail_latency(&route.samples), Self::health_score(&route.samples));
+                self.routes.insert(endpoint, route);
             }
-            let Some(r) = self.routes.get_mut(e.endpoint) else { continue };
-            (r.ready, r.rate) = (e.ready, if e.rate_limit.is_finite() { e.rate_limit.max(0.0) } else { 0.0 });
-            if !r.ready {
-                self.aging.timers.set(e.endpoint.into(), r.used + AGE);
+            let Some(route) = self.routes.get_mut(entry.endpoint) else { continue };
+            (route.ready, route.listed_rate) =
+                (entry.ready, if entry.rate_limit.is_finite() { entry.rate_limit.max(0.0) } else { 0.0 });
+            if !route.ready {
+                self.unused_routes.timers.set(entry.endpoint.into(), route.last_used_at + ROUTE_MEMORY_SECS);
             }
-            // One that started lately is cold too: what all senders hold would push it over when they hear of
-            // it. Harm: one that is listed as new though it is warm.
-            if e.started_at > r.born.max(now - self.cold.warm_up) {
-                (r.born, r.outage, r.back) = (e.started_at, true, Some(e.started_at.min(now)));
-                let scope = Self::scope(&e.endpoint.into(), &self.routes[e.endpoint]);
-                self.come_in_turn(&scope, false);
+            // An endpoint that started recently is cold too: the webhooks pending at all senders would
+            // overload it when they learn of it. The cost: one that is listed as new although it is warm gets
+            // fewer calls for a while.
+            if entry.started_at > route.started_at.max(now - self.cold_start.warm_up) {
+                (route.started_at, route.cold, route.recovered_at) =
+                    (entry.started_at, true, Some(entry.started_at.min(now)));
+                let scope = Self::limit_scope(&entry.endpoint.into(), &self.routes[entry.endpoint]);
+                self.stagger_cold_calls(&scope, false);
             }
-            self.held.changed.insert(e.destination);
+            self.pending.changed.insert(entry.destination);
         }
     }
 
-    pub(super) fn watch_due(&self) -> Option<Pick> {
-        (self.watch.ask && !self.watch.watching && self.now >= self.watch.ask_at).then_some(Pick::Any)
+    pub(super) fn watch_due(&self) -> Option<RuleTarget> {
+        (self.list_watch.required && !self.list_watch.active && self.now >= self.list_watch.request_at)
+            .then_some(RuleTarget::Any)
     }
 
-    /// A turn to ask, as crowds are refused: twenty calls a second from all, in half of the allowed time.
-    pub(super) fn list_turn(&mut self) -> f64 {
-        self.chance.draw() * (0.05 * (self.senders - 1.0)).min(self.watch.within / 2.0)
+    /// A random delay before a request, as the list service refuses many at once: 20 requests per second from
+    /// all senders, but within half of the allowed interval.
+    pub(super) fn list_request_delay(&mut self) -> f64 {
+        self.rng.next_f64() * (0.05 * (self.sender_count - 1.0)).min(self.list_watch.max_interval / 2.0)
     }
 
-    pub(super) fn ask_list(&mut self, _: Pick, out: &mut dyn ActionSink) {
-        out.watch_list(true);
-        // Asked again well inside the allowed time if no answer comes at all.
-        self.watch.ask_at = self.now + self.watch.within / 3.0;
+    pub(super) fn request_list(&mut self, _: RuleTarget, actions: &mut dyn ActionSink) {
+        actions.watch_list(true);
+        // Without any answer, the next request is due well within the allowed interval.
+        self.list_watch.request_at = self.now + self.list_watch.max_interval / 3.0;
     }
 
-    pub(super) fn aged(&self) -> Option<Pick> {
-        if self.now < self.aging.next {
+    /// A route that was unused for long enough to forget it, if the periodic check is due.
+    pub(super) fn unused_route(&self) -> Option<RuleTarget> {
+        if self.now < self.unused_routes.next_check_at {
             return None;
         }
-        // A route with calls out is in use.
-        let old =
-            |r: &Route| r.calls.is_empty() && r.used + AGE < self.now && !(r.ready && r.samples.is_empty());
-        let found = self.aging.due.iter().find(|ep| self.routes.get(*ep).is_some_and(old));
-        found.cloned().map(Pick::Route).or(Some(Pick::Any))
+        // A route with calls in flight is in use.
+        let unused = |route: &Route| {
+            route.calls.is_empty()
+                && route.last_used_at + ROUTE_MEMORY_SECS < self.now
+                && !(route.ready && route.samples.is_empty())
+        };
+        let found =
+            self.unused_routes.due.iter().find(|endpoint| self.routes.get(*endpoint).is_some_and(unused));
+        found.cloned().map(RuleTarget::Route).or(Some(RuleTarget::Any))
     }
 
-    pub(super) fn forget(&mut self, pick: Pick, _: &mut dyn ActionSink) {
-        let Pick::Route(ep) = pick else {
-            self.aging.next = self.now + 5.0;
-            self.aging.due.clear();
-            self.key_rests.retain(|_, t| *t + 1.0 > self.now);
+    /// Resets an unused route that is listed as ready and removes any other. Without a route, ends the
+    /// periodic check.
+    pub(super) fn forget_route(&mut self, target: RuleTarget, _: &mut dyn ActionSink) {
+        let RuleTarget::Route(endpoint) = target else {
+            self.unused_routes.next_check_at = self.now + 5.0;
+            self.unused_routes.due.clear();
+            self.key_cooldowns.retain(|_, cooldown_until| *cooldown_until + 1.0 > self.now);
             return;
         };
-        let first = self.first_window();
-        self.held.changed.extend(self.routes.get(&ep).map(|r| r.dest));
-        if let Some(r) = self.routes.get_mut(&ep).filter(|r| r.ready) {
-            r.samples.clear();
-            (r.slow, r.score) = (Self::slow_end(&r.samples), Self::score(&r.samples));
-            (r.bad_row, r.open, r.window) = (0, false, first);
-        } else if let Some(r) = self.routes.remove(&ep) {
-            self.dests.entry(r.dest).or_default().retain(|x| *x != ep);
-            self.spare.set(&r.kind, &ep, [false; 2]);
-            let scope = (r.dest, Some(ep));
-            if self.meters.get(&scope).is_some_and(|m| m.wait_until <= self.now) {
-                self.meters.remove(&scope);
+        let initial_window = self.initial_window();
+        self.pending.changed.extend(self.routes.get(&endpoint).map(|route| route.destination));
+        if let Some(route) = self.routes.get_mut(&endpoint).filter(|route| route.ready) {
+            route.samples.clear();
+            (route.tail_latency, route.health_score) =
+                (Self::tail_latency(&route.samples), Self::health_score(&route.samples));
+            (route.consecutive_failures, route.circuit_open, route.window) = (0, false, initial_window);
+        } else if let Some(route) = self.routes.remove(&endpoint) {
+            self.endpoints.entry(route.destination).or_default().retain(|other| *other != endpoint);
+            self.unneeded_connections.set(&route.destination_kind, &endpoint, [false; 2]);
+            let scope = (route.destination, Some(endpoint));
+            if self.rate_limiters.get(&scope).is_some_and(|limiter| limiter.wait_until <= self.now) {
+                self.rate_limiters.remove(&scope);
             }
         }
     }
--- a/src/logic/retries.rs
+++ b/src/logic/retries.rs
@@ -1,227 +1,293 @@
-//! How long an attempt is waited for, what its outcome tells of its route, and calls given up for their slots.
+//! Attempt timeouts, what the end of a call tells about its route, and calls that are cancelled to free their
+//! slots.
 
 use super::*;
 
-impl Logic {
-    pub(super) fn first_window(&self) -> f64 {
-        // An eighth of the slots, one at least: half of them opened more connections than endpoints take.
-        (self.caps.slots as f64 / 8.0).max(1.0)
+impl RuleEngine {
+    /// The window of a new route.
+    pub(super) fn initial_window(&self) -> f64 {
+        // An eighth of the slots, at least one: half of the slots opened more connections than endpoints
+        // accept.
+        (self.limits.slots as f64 / 8.0).max(1.0)
     }
 
-    /// How long all but the slowest tenth of recent answers took; 0.6 s at least where few are known.
-    pub(super) fn slow_end(samples: &VecDeque<Sample>) -> f64 {
-        let mut took: Vec<f64> = samples.iter().filter(|s| s.good).map(|s| s.took).collect();
-        took.sort_by(f64::total_cmp);
-        if took.len() < 5 { took.last().copied().unwrap_or(0.0).max(0.6) } else { took[took.len() * 9 / 10] }
+    /// The 90th percentile of recent deliveries' durations. With fewer than five, the longest, and at least
+    /// 0.6 s.
+    pub(super) fn tail_latency(samples: &VecDeque<Sample>) -> f64 {
+        let mut durations: Vec<f64> =
+            samples.iter().filter(|sample| sample.delivered).map(|sample| sample.duration).collect();
+        durations.sort_by(f64::total_cmp);
+        if durations.len() < 5 {
+            durations.last().copied().unwrap_or(0.0).max(0.6)
+        } else {
+            durations[durations.len() * 9 / 10]
+        }
     }
 
-    /// When a call is taken for lost: over three times the slow end (one in a hundred takes longer), down to
-    /// twice where a tenth of calls get lost; 0.8 s at least, as stalls last half a second. Twice as long for
-    /// each call lost in a row, up to eight times, so that it follows a route that slows down.
-    pub(super) fn patience(&self, r: &Route) -> f64 {
-        let lost = self.lost.iter().filter(|l| **l).count() as f64 / 60.0;
-        let times = (3.5 - 15.0 * lost).max(2.0);
-        (times * r.slow).max(0.8) * f64::from(1 << r.bad_row.min(3))
+    /// After how long a call counts as lost: 3.5 times the tail latency (one in a hundred takes longer), down
+    /// to twice where a tenth of the calls are lost, and at least 0.8 s, as stalls last half a second. It
+    /// doubles with each consecutive failure, up to eight times, so that it follows a route that slows down.
+    pub(super) fn call_timeout(&self, route: &Route) -> f64 {
+        let loss_share = self.recent_losses.iter().filter(|lost| **lost).count() as f64 / 60.0;
+        let factor = (3.5 - 15.0 * loss_share).max(2.0);
+        (factor * route.tail_latency).max(0.8) * f64::from(1 << route.consecutive_failures.min(3))
     }
 
-    /// No answer for much longer than answers take, with calls out: no more calls until one is back.
-    pub(super) fn silent(&self, r: &Route) -> bool {
-        let oldest = r.calls.iter().map(|c| c.at).fold(f64::INFINITY, f64::min);
-        self.now - oldest.max(r.answered) > 0.6 * self.patience(r)
+    /// Whether a route with calls in flight has not answered for much longer than answers take. It gets no
+    /// more calls until one ends.
+    pub(super) fn unresponsive(&self, route: &Route) -> bool {
+        let oldest = route.calls.iter().map(|call| call.sent_at).fold(f64::INFINITY, f64::min);
+        self.now - oldest.max(route.last_answer_at) > 0.6 * self.call_timeout(route)
     }
 
-    pub(super) fn stop_at(&self, w: &Webhook, r: &Route) -> f64 {
-        let effect = self.types.get(&w.event_type).map(|t| t.effect);
-        // An at-most-once time-out could only be dead-lettered; `stuck` ends it when its slot is needed.
-        let free = matches!(effect, Some(RepeatSafety::Idempotent | RepeatSafety::Tokened));
-        if free { (self.now + self.patience(r)).min(w.ttl_at) } else { w.ttl_at }
+    /// When an attempt that starts now times out.
+    pub(super) fn attempt_deadline(&self, webhook: &Webhook, route: &Route) -> f64 {
+        let repeat_safety =
+            self.event_types.get(&webhook.event_type).map(|event_type| event_type.repeat_safety);
+        // After a timeout an at-most-once webhook could only be dead-lettered; the rule for overdue calls
+        // cancels its call when the slot is needed.
+        let repeatable = matches!(repeat_safety, Some(RepeatSafety::Idempotent | RepeatSafety::Tokened));
+        if repeatable {
+            (self.now + self.call_timeout(route)).min(webhook.ttl_deadline)
+        } else {
+            webhook.ttl_deadline
+        }
     }
 
-    /// All slots are taken and a webhook waits: the call longest past patience is called off.
-    pub(super) fn stuck(&self) -> Option<Pick> {
-        if !self.caps.may_call_off || self.busy < self.caps.slots || self.held.is_empty() {
+    /// While all slots are in use and webhooks are pending: the call that is longest past its timeout.
+    pub(super) fn overdue_call(&self) -> Option<RuleTarget> {
+        if !self.limits.may_cancel || self.used_slots < self.limits.slots || self.pending.is_empty() {
             return None;
         }
-        let worst = self.patience_ends().min_by(|a, b| a.0.total_cmp(&b.0))?;
-        (worst.0 < self.now).then_some(Pick::Webhook(worst.1))
+        let most_overdue = self.call_timeouts().min_by(|a, b| a.0.total_cmp(&b.0))?;
+        (most_overdue.0 < self.now).then_some(RuleTarget::Webhook(most_overdue.1))
     }
 
-    /// When patience with each call that is out ends, and a webhook in it.
-    pub(super) fn patience_ends(&self) -> impl Iterator<Item = (f64, u64)> {
-        let live = self.active.iter().filter_map(|ep| self.routes.get(ep));
-        let calls = live.flat_map(|r| r.calls.iter().filter(|c| !c.called_off).map(move |c| (r, c)));
-        calls.filter_map(|(r, c)| Some((c.at + self.patience(r), *c.webhooks.first()?)))
+    /// When each call in flight times out, with one of its webhooks.
+    pub(super) fn call_timeouts(&self) -> impl Iterator<Item = (f64, u64)> {
+        let active = self.active_routes.iter().filter_map(|endpoint| self.routes.get(endpoint));
+        let calls = active.flat_map(|route| {
+            route.calls.iter().filter(|call| !call.cancelled).map(move |call| (route, call))
+        });
+        calls.filter_map(|(route, call)| {
+            Some((call.sent_at + self.call_timeout(route), *call.webhook_ids.first()?))
+        })
     }
 
-    pub(super) fn call_off(&mut self, pick: Pick, out: &mut dyn ActionSink) {
-        let Pick::Webhook(id) = pick else { return };
-        for ep in &self.active {
-            let calls = self.routes.get_mut(ep).into_iter().flat_map(|r| &mut r.calls);
-            for call in calls.filter(|c| c.webhooks.contains(&id)) {
-                call.called_off = true;
-                for id in &call.webhooks {
-                    out.cancel_attempt(*id, self.webhooks.get(id).map_or(0, |w| w.tries.saturating_sub(1)));
+    pub(super) fn cancel_call(&mut self, target: RuleTarget, actions: &mut dyn ActionSink) {
+        let RuleTarget::Webhook(id) = target else { return };
+        for endpoint in &self.active_routes {
+            let calls = self.routes.get_mut(endpoint).into_iter().flat_map(|route| &mut route.calls);
+            for call in calls.filter(|call| call.webhook_ids.contains(&id)) {
+                call.cancelled = true;
+                for id in &call.webhook_ids {
+                    actions.cancel_attempt(
+                        *id,
+                        self.webhooks.get(id).map_or(0, |webhook| webhook.attempts.saturating_sub(1)),
+                    );
                 }
             }
         }
     }
 
-    pub(super) fn end_call(
-        &mut self, id: u64, ep: &str, outcome: Outcome, took: f64, report: Option<(f64, f64)>,
+    /// Updates the route, its rate limiter and the slots when an attempt ends. Returns whether the attempt
+    /// was refused because a rate limit was reached.
+    pub(super) fn record_call_end(
+        &mut self, id: u64, endpoint: &str, outcome: Outcome, duration: f64, limit_report: Option<(f64, f64)>,
     ) -> bool {
-        let (now, slots, senders, jitter) =
-            (self.now, self.caps.slots as f64, self.senders, self.chance.draw());
-        let Some((ep, r)) = self.routes.get_key_value(ep) else { return false };
-        let (ep, scope) = (ep.clone(), Self::scope(ep, r));
-        let Some(r) = self.routes.get_mut(&ep) else { return false };
-        self.held.changed.insert(scope.0);
-        let m = self.meters.entry(scope.clone()).or_default();
+        let (now, slots, sender_count, jitter) =
+            (self.now, self.limits.slots as f64, self.sender_count, self.rng.next_f64());
+        let Some((endpoint, route)) = self.routes.get_key_value(endpoint) else { return false };
+        let (endpoint, scope) = (endpoint.clone(), Self::limit_scope(endpoint, route));
+        let Some(route) = self.routes.get_mut(&endpoint) else { return false };
+        self.pending.changed.insert(scope.0);
+        let limiter = self.rate_limiters.entry(scope.clone()).or_default();
         if let Outcome::Full(wait @ 0.001..) = outcome {
-            // 1 ms more, so that rounding cannot end it early; a batch tells it again with each outcome.
-            m.wait_until = m.wait_until.max(now + wait + 0.001);
+            // 1 ms more, so that rounding cannot end it early. Each webhook of a batch reports the same wait.
+            limiter.wait_until = limiter.wait_until.max(now + wait + 0.001);
         }
-        let Some(at) = r.calls.iter().position(|c| c.webhooks.contains(&id)) else { return false };
-        let call = &mut r.calls[at];
-        let (sent_at, trial, idle) = (call.at, call.trial, call.idle);
-        // Several webhooks in a call have one fate, told one by one: the first is judged, the last frees it.
-        let first = !std::mem::replace(&mut call.judged, true);
-        call.webhooks.remove(&id);
-        if call.webhooks.is_empty() {
-            r.calls.remove(at);
-            self.busy -= 1;
-            if r.calls.is_empty() {
-                self.active.remove(&ep);
+        let Some(position) = route.calls.iter().position(|call| call.webhook_ids.contains(&id)) else {
+            return false;
+        };
+        let call = &mut route.calls[position];
+        let (sent_at, probe, on_idle_connection) = (call.sent_at, call.probe, call.on_idle_connection);
+        // The webhooks of a call share one outcome but report it one by one: the first is evaluated, the last
+        // frees the slot.
+        let first = !std::mem::replace(&mut call.evaluated, true);
+        call.webhook_ids.remove(&id);
+        if call.webhook_ids.is_empty() {
+            route.calls.remove(position);
+            self.used_slots -= 1;
+            if route.calls.is_empty() {
+                self.active_routes.remove(&endpoint);
             }
-            match self.out.get_mut(&scope.0).filter(|n| **n > 1) {
-                Some(n) => *n -= 1,
-                None => drop(self.out.remove(&scope.0)),
+            match self.calls_in_flight.get_mut(&scope.0).filter(|count| **count > 1) {
+                Some(count) => *count -= 1,
+                None => drop(self.calls_in_flight.remove(&scope.0)),
             }
         }
         if !first {
-            return m.full_at == now;
+            return limiter.limit_reached_at == now;
         }
-        r.used = now;
-        self.aging.timers.set(ep.clone(), now + AGE);
-        // Only the first loss of a row counts: a hung endpoint is tried again and again after a pause.
+        route.last_used_at = now;
+        self.unused_routes.timers.set(endpoint.clone(), now + ROUTE_MEMORY_SECS);
+        // Only the first of consecutive losses counts: a hung endpoint is tried again and again, each time
+        // after a pause.
         let lost = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled | Outcome::Reset);
-        self.stale.extend((!trial && r.bad_row == 0).then_some((now, idle, lost)));
-        // The last 100 calls in 20 s: enough to see one in ten idle ones, short enough to try again.
-        self.stale.retain(|s| s.0 >= now - 20.0);
-        self.stale.drain(..self.stale.len().saturating_sub(100));
-        if let Some((left, limit)) = report.filter(|r| r.1 > 0.0) {
-            m.left = Some((left, now));
-            // All of it is used: refused calls may use it up too, and only even parts leave room for any.
-            if left < 0.001 {
-                (m.share, self.used_up_at) = (m.share.min(2.0 * m.least), now);
+        self.recent_connection_uses.extend((!probe && route.consecutive_failures == 0).then_some((
+            now,
+            on_idle_connection,
+            lost,
+        )));
+        // The last 100 calls in 20 s: enough to notice if one in ten on idle connections is lost, and soon
+        // forgotten, so that idle connections are tried again.
+        self.recent_connection_uses.retain(|usage| usage.0 >= now - 20.0);
+        self.recent_connection_uses.drain(..self.recent_connection_uses.len().saturating_sub(100));
+        if let Some((remaining, limit)) = limit_report.filter(|report| report.1 > 0.0) {
+            limiter.reported_remaining = Some((remaining, now));
+            // The limit is used up, possibly by refused calls as well: only even shares leave some of it to
+            // every sender.
+            if remaining < 0.001 {
+                (limiter.share, self.limit_used_up_at) = (limiter.share.min(2.0 * limiter.min_share), now);
             }
-            m.limits.push_back((now, limit));
-            // The median of the last five reports: they are noisy.
-            m.limits.drain(..m.limits.len().saturating_sub(5));
-            self.told.push_back(limit);
-            self.told.drain(..self.told.len().saturating_sub(20));
-            self.usual = median(self.told.iter().copied()).unwrap_or(0.0);
+            limiter.reported_limits.push_back((now, limit));
+            // The last five reports; their median is used, as they are noisy.
+            limiter.reported_limits.drain(..limiter.reported_limits.len().saturating_sub(5));
+            self.recent_limits.push_back(limit);
+            self.recent_limits.drain(..self.recent_limits.len().saturating_sub(20));
+            self.typical_limit = median(self.recent_limits.iter().copied()).unwrap_or(0.0);
         }
-        let (good, mut returns) = (outcome == Outcome::Delivered, false);
-        r.unwell_at = (!good).then_some(now);
-        let incident = matches!(outcome, Outcome::ConnectFailed | Outcome::Reset);
+        let (delivered, mut recovers) = (outcome == Outcome::Delivered, false);
+        route.last_failed_at = (!delivered).then_some(now);
+        let connection_error = matches!(outcome, Outcome::ConnectFailed | Outcome::Reset);
         match outcome {
             Outcome::Moot(_) => return false,
             Outcome::Full(wait) => {
-                r.answered = now;
-                r.window = (r.window / 2.0).max(1.0);
-                if trial {
-                    r.cooling = (r.cooling * 2.0).min(2.0);
-                    r.trial_at = now + r.cooling;
+                route.last_answer_at = now;
+                route.window = (route.window / 2.0).max(1.0);
+                if probe {
+                    route.probe_pause = (route.probe_pause * 2.0).min(2.0);
+                    route.probe_at = now + route.probe_pause;
                 }
-                return self.cooling_off(&ep, &scope, wait);
+                return self.back_off(&endpoint, &scope, wait);
             }
             Outcome::Delivered => {
-                (r.answered, m.well_at) = (now, Some(now));
-                self.thrift.entry(r.kind.clone()).or_default().1 += 1;
-                if r.no_link_at.is_some_and(|t| now < t + 4.0) {
-                    // A connect failed just before: too short for an outage, so connections are scarce there,
-                    // most likely at all of its kind. A minute, the design's span for what is known.
-                    self.thrift.insert(r.kind.clone(), (now + 60.0, 0));
+                (route.last_answer_at, limiter.last_delivered_at) = (now, Some(now));
+                self.connection_scarcity.entry(route.destination_kind.clone()).or_default().1 += 1;
+                if route.connect_failed_at.is_some_and(|failed_at| now < failed_at + 4.0) {
+                    // A connect failed just before: too brief for an outage, so connections are scarce there,
+                    // most likely at all destinations of this kind. For a minute, the span for which
+                    // docs/design.md trusts what is known.
+                    self.connection_scarcity.insert(route.destination_kind.clone(), (now + 60.0, 0));
                 }
-                // One or two unanswered calls before a good answer were lost; more would be an outage.
-                let lost = if r.bad_row < 3 { r.bad_row as usize } else { 0 };
-                self.lost.extend(std::iter::repeat_n(true, lost).chain([false]));
+                // One or two unanswered calls before a delivery were lost; more would be an outage.
+                let lost =
+                    if route.consecutive_failures < 3 { route.consecutive_failures as usize } else { 0 };
+                self.recent_losses.extend(std::iter::repeat_n(true, lost).chain([false]));
                 // The last 60: enough to tell one in twenty from one in ten.
-                self.lost.drain(..self.lost.len().saturating_sub(60));
-                r.bad_row = 0;
-                // Where room is left and a whole call waits the share grows fast: others use less.
-                let waits = self.held.waiting(scope.0) >= r.batch && now > m.full_at + 2.0;
-                let room = waits && report.is_some_and(|r| r.0 >= 0.2);
-                let more = if room { 0.2 * m.share } else { 0.02 / senders };
-                (m.full_row, m.share) = (0, (m.share + more).min(m.share.max(1.0)));
-                if now >= r.short_until {
-                    r.window = (r.window + 1.0).min((slots * 0.33).max(1.0));
+                self.recent_losses.drain(..self.recent_losses.len().saturating_sub(60));
+                route.consecutive_failures = 0;
+                // Where some of the limit is left and a full call is pending the share grows fast: other
+                // senders use less.
+                let wants_more = self.pending.sendable_count(scope.0) >= route.max_batch
+                    && now > limiter.limit_reached_at + 2.0;
+                let has_room = wants_more && limit_report.is_some_and(|report| report.0 >= 0.2);
+                let growth = if has_room { 0.2 * limiter.share } else { 0.02 / sender_count };
+                (limiter.consecutive_refusals, limiter.share) =
+                    (0, (limiter.share + growth).min(limiter.share.max(1.0)));
+                if now >= route.window_fixed_until {
+                    route.window = (route.window + 1.0).min((slots * 0.33).max(1.0));
                 }
-                if std::mem::take(&mut r.open) {
-                    r.samples.clear();
+                if std::mem::take(&mut route.circuit_open) {
+                    route.samples.clear();
                 }
-                returns = r.outage && r.back.is_none();
-                if r.outage && now - *r.back.get_or_insert(now) > self.cold.warm_up {
-                    (r.outage, r.back) = (false, None);
+                recovers = route.cold && route.recovered_at.is_none();
+                if route.cold && now - *route.recovered_at.get_or_insert(now) > self.cold_start.warm_up {
+                    (route.cold, route.recovered_at) = (false, None);
                 }
             }
-            Outcome::Failed => r.answered = now,
+            Outcome::Failed => route.last_answer_at = now,
             Outcome::ConnectFailed => {
-                r.no_link_at = Some(now);
-                let others = r.samples.iter().any(|s| s.good && s.at >= sent_at);
-                let scarce = self.thrift.get(&r.kind).is_some_and(|t| now < t.0);
-                self.thrift.entry(r.kind.clone()).or_default().1 = 0;
-                if others || (scarce && r.bad_row < 3) {
-                    // No connection, yet others answer: calls that are out show how many it gets; 5 s,
-                    // since idle ones elsewhere close after some seconds.
-                    r.window = r.window.min(r.calls.len() as f64).max(1.0);
-                    r.short_until = now + 5.0;
-                    r.bad_row += 1;
+                route.connect_failed_at = Some(now);
+                let others_delivered =
+                    route.samples.iter().any(|sample| sample.delivered && sample.ended_at >= sent_at);
+                let scarce = self
+                    .connection_scarcity
+                    .get(&route.destination_kind)
+                    .is_some_and(|scarcity| now < scarcity.0);
+                self.connection_scarcity.entry(route.destination_kind.clone()).or_default().1 = 0;
+                if others_delivered || (scarce && route.consecutive_failures < 3) {
+                    // No connection, yet others work: the calls in flight show how many it accepts. For 5 s,
+                    // since idle connections of other senders close after some seconds.
+                    route.window = route.window.min(route.calls.len() as f64).max(1.0);
+                    route.window_fixed_until = now + 5.0;
+                    route.consecutive_failures += 1;
                     return false;
                 }
-                r.window = (r.window / 2.0).max(1.0);
+                route.window = (route.window / 2.0).max(1.0);
             }
-            Outcome::TimedOut | Outcome::Cancelled => r.window = (r.window / 2.0).max(1.0),
+            Outcome::TimedOut | Outcome::Cancelled => route.window = (route.window / 2.0).max(1.0),
             Outcome::Reset => {}
         }
-        r.samples.push_back(Sample { at: now, good, incident, took });
-        // 30 samples or the design's 10 s, whichever is less.
-        r.samples.retain(|s| s.at >= now - 10.0);
-        r.samples.drain(..r.samples.len().saturating_sub(30));
-        (r.slow, r.score) = (Self::slow_end(&r.samples), Self::score(&r.samples));
-        if good {
-            if returns {
-                self.come_in_turn(&scope, true);
+        route.samples.push_back(Sample { ended_at: now, delivered, connection_error, duration });
+        // 30 samples, or those of the 10 s that docs/design.md names, whichever are fewer.
+        route.samples.retain(|sample| sample.ended_at >= now - 10.0);
+        route.samples.drain(..route.samples.len().saturating_sub(30));
+        (route.tail_latency, route.health_score) =
+            (Self::tail_latency(&route.samples), Self::health_score(&route.samples));
+        if delivered {
+            if recovers {
+                self.stagger_cold_calls(&scope, true);
             }
             return false;
         }
-        // A kept connection that ends says nothing of its endpoint; one that is down refuses the next.
-        r.bad_row += u32::from(outcome != Outcome::Reset);
-        r.bad_since = if r.bad_row == 1 && !r.outage { sent_at } else { r.bad_since };
-        let fine = r.samples.iter().filter(|s| s.good).count();
-        let quiet = !r.samples.iter().any(|s| s.good && s.at >= sent_at);
-        if self.all_failing(&scope) {
-            self.mark_outage(&scope, now - 2.0);
-            self.come_in_turn(&scope, false);
+        // A reset of a kept connection says nothing about its endpoint; one that is down refuses the next
+        // connect.
+        route.consecutive_failures += u32::from(outcome != Outcome::Reset);
+        route.failing_since =
+            if route.consecutive_failures == 1 && !route.cold { sent_at } else { route.failing_since };
+        let delivered_count = route.samples.iter().filter(|sample| sample.delivered).count();
+        let none_delivered =
+            !route.samples.iter().any(|sample| sample.delivered && sample.ended_at >= sent_at);
+        if self.all_routes_failing(&scope) {
+            self.mark_cold(&scope, now - 2.0);
+            self.stagger_cold_calls(&scope, false);
         }
-        let Some(r) = self.routes.get_mut(&ep) else { return false };
-        // Two in a row with nothing good since, one error with nothing good known, or most of five: it opens.
-        let alone = fine == 0 && outcome == Outcome::Failed;
-        if ((r.bad_row >= 2 || alone) && quiet)
-            || (r.samples.len() >= 5 && 2 * fine < r.samples.len())
-            || trial
+        let Some(route) = self.routes.get_mut(&endpoint) else { return false };
+        // The circuit opens on two consecutive failures with no delivery since, on one error where no
+        // delivery is known, or on a majority of at least five.
+        let single_error = delivered_count == 0 && outcome == Outcome::Failed;
+        if ((route.consecutive_failures >= 2 || single_error) && none_delivered)
+            || (route.samples.len() >= 5 && 2 * delivered_count < route.samples.len())
+            || probe
         {
-            r.cooling = if std::mem::replace(&mut r.open, true) { (r.cooling * 1.5).min(2.0) } else { 0.5 };
-            let (cooling, bad_row, since) = (r.cooling, r.bad_row, r.bad_since);
-            let row_at = r.samples.iter().rev().take_while(|s| !s.good).last().map_or(now, |s| s.at);
-            let turn = self.turn(&self.routes[&ep], self.meters.get(&scope), since - 2.0);
-            if let Some(r) = self.routes.get_mut(&ep) {
-                r.trial_at = now + (cooling * (0.75 + 0.5 * jitter)).max(turn * (0.2 + 1.6 * jitter));
+            route.probe_pause = if std::mem::replace(&mut route.circuit_open, true) {
+                (route.probe_pause * 1.5).min(2.0)
+            } else {
+                0.5
+            };
+            let (probe_pause, consecutive_failures, failing_since) =
+                (route.probe_pause, route.consecutive_failures, route.failing_since);
+            let first_failed_at = route
+                .samples
+                .iter()
+                .rev()
+                .take_while(|sample| !sample.delivered)
+                .last()
+                .map_or(now, |sample| sample.ended_at);
+            let turn = self.turn_duration(
+                &self.routes[&endpoint],
+                self.rate_limiters.get(&scope),
+                failing_since - 2.0,
+            );
+            if let Some(route) = self.routes.get_mut(&endpoint) {
+                route.probe_at = now + (probe_pause * (0.75 + 0.5 * jitter)).max(turn * (0.2 + 1.6 * jitter));
             }
-            // One lost call more, or a failed trial, and it is an outage; fewer can be chance.
-            if (trial && outcome != Outcome::Reset) || bad_row >= 3 {
-                // What went well since the row began (two seconds at most) is up, however fast this failed.
-                self.mark_outage(&scope, row_at.max(now - 2.0));
+            // A third consecutive failure, or a failed probe, is an outage; fewer can be coincidence.
+            if (probe && outcome != Outcome::Reset) || consecutive_failures >= 3 {
+                // Routes that delivered since these failures began, or in the last two seconds, are up,
+                // however fast this one failed.
+                self.mark_cold(&scope, first_failed_at.max(now - 2.0));
             }
         }
         false
--- a/src/scan.rs
+++ b/src/scan.rs
@@ -1,113 +1,148 @@
-//! The indexes against plain scans of all that is held, before every rule that fires on random days.
+//! Compares the indexes with plain scans of all pending webhooks, before each rule that fires on random
+//! inputs.
 
 use super::*;
 use proptest::prelude::*;
 
-/// Held: handed in or back, and neither out nor over.
-fn held(l: &Logic) -> Vec<(u64, u64)> {
-    let mut all: Vec<(u64, u64)> = l.held.ids().map(|id| (l.webhooks[id].dest, *id)).collect();
-    let out = l.webhooks.iter().filter(|(_, w)| w.out.is_some()).count();
-    assert_eq!(all.len() + out, l.webhooks.len(), "each webhook is either held or out");
-    all.sort_by_key(|x| x.0);
+/// Destinations and ids of the pending webhooks: those accepted or back from an attempt, neither in flight
+/// nor ended.
+fn pending(engine: &RuleEngine) -> Vec<(u64, u64)> {
+    let mut all: Vec<(u64, u64)> =
+        engine.pending.ids().map(|id| (engine.webhooks[id].destination, *id)).collect();
+    let in_flight = engine.webhooks.iter().filter(|(_, webhook)| webhook.in_flight_to.is_some()).count();
+    assert_eq!(all.len() + in_flight, engine.webhooks.len(), "each webhook is either pending or in flight");
+    all.sort_by_key(|entry| entry.0);
     all
 }
 
-fn may_repeat(l: &Logic, w: &Webhook, zone: &str) -> bool {
-    let (Some(t), Some((first, _))) = (l.types.get(&w.event_type), &w.ran) else { return w.ran.is_none() };
-    let known = t.effect != RepeatSafety::Tokened || t.known_by_all || **first == *zone;
-    known && l.now < l.repeat_until(w)
+fn may_repeat(engine: &RuleEngine, webhook: &Webhook, zone: &str) -> bool {
+    let (Some(event_type), Some((first_zone, _))) =
+        (engine.event_types.get(&webhook.event_type), &webhook.may_have_run)
+    else {
+        return webhook.may_have_run.is_none();
+    };
+    let recognized = event_type.repeat_safety != RepeatSafety::Tokened
+        || event_type.token_shared_by_zones
+        || **first_zone == *zone;
+    recognized && engine.now < engine.repeat_deadline(webhook)
 }
 
-fn able(l: &Logic, id: u64) -> bool {
-    let w = &l.webhooks[&id];
-    l.now >= w.not_before.max(l.turn_at(id, w))
+fn is_sendable(engine: &RuleEngine, id: u64) -> bool {
+    let webhook = &engine.webhooks[&id];
+    engine.now >= webhook.not_before.max(engine.key_turn_at(id, webhook))
 }
 
-fn late(l: &Logic) -> Option<u64> {
-    held(l).into_iter().map(|x| x.1).find(|id| l.now >= l.webhooks[id].ttl_at - 0.005)
+fn expired(engine: &RuleEngine) -> Option<u64> {
+    pending(engine)
+        .into_iter()
+        .map(|entry| entry.1)
+        .find(|id| engine.now >= engine.webhooks[id].ttl_deadline - 0.005)
 }
 
-fn spent(l: &Logic) -> Option<u64> {
-    let over = |id: &u64| {
-        let w = &l.webhooks[id];
-        l.now >= l.repeat_until(w) || w.tries >= l.caps.attempts || !l.types.contains_key(&w.event_type)
+fn exhausted(engine: &RuleEngine) -> Option<u64> {
+    let is_exhausted = |id: &u64| {
+        let webhook = &engine.webhooks[id];
+        engine.now >= engine.repeat_deadline(webhook)
+            || webhook.attempts >= engine.limits.max_attempts
+            || !engine.event_types.contains_key(&webhook.event_type)
     };
-    held(l).into_iter().map(|x| x.1).find(over)
+    pending(engine).into_iter().map(|entry| entry.1).find(is_exhausted)
 }
 
-fn sendable(l: &Logic) -> Option<(u64, Name)> {
-    let mut best: Option<(Rank, u64, Name)> = None;
-    for (dest, id) in held(l) {
-        let routes = l.routes_now(dest);
+fn next_attempt(engine: &RuleEngine) -> Option<(u64, Name)> {
+    let mut best: Option<(SendRank, u64, Name)> = None;
+    for (destination, id) in pending(engine) {
+        let routes = engine.ranked_routes(destination);
         let Some(first) = routes.first() else { continue };
-        let w = &l.webhooks[&id];
-        let rank = l.rank(w, Logic::slow_end(&l.routes[*first].samples));
-        let fits = |ep: &&&Name| may_repeat(l, w, &l.routes[**ep].zone);
-        if let Some(ep) = routes.iter().find(fits).filter(|_| able(l, id))
-            && best.as_ref().is_none_or(|b| rank < b.0)
+        let webhook = &engine.webhooks[&id];
+        let rank = engine.send_rank(webhook, RuleEngine::tail_latency(&engine.routes[*first].samples));
+        let fits = |endpoint: &&&Name| may_repeat(engine, webhook, &engine.routes[**endpoint].zone);
+        if let Some(endpoint) = routes.iter().find(fits).filter(|_| is_sendable(engine, id))
+            && best.as_ref().is_none_or(|other| rank < other.0)
         {
-            best = Some((rank, id, (*ep).clone()));
+            best = Some((rank, id, (*endpoint).clone()));
         }
     }
-    best.map(|b| (b.1, b.2))
+    best.map(|found| (found.1, found.2))
 }
 
-fn trial(l: &Logic) -> Option<(u64, Name)> {
-    let all = held(l);
-    for (dest, eps) in &l.dests {
-        for ep in eps {
-            let r = &l.routes[ep];
-            if !r.open || l.free_at(ep, r) > l.now {
+fn due_probe(engine: &RuleEngine) -> Option<(u64, Name)> {
+    let all = pending(engine);
+    for (destination, endpoints) in &engine.endpoints {
+        for endpoint in endpoints {
+            let route = &engine.routes[endpoint];
+            if !route.circuit_open || engine.available_at(endpoint, route) > engine.now {
                 continue;
             }
-            let fits =
-                |x: &&(u64, u64)| x.0 == *dest && able(l, x.1) && may_repeat(l, &l.webhooks[&x.1], &r.zone);
-            let harm = |x: &&(u64, u64)| {
-                let effect = l.types.get(&l.webhooks[&x.1].event_type).map(|t| t.effect);
-                (effect == Some(RepeatSafety::AtMostOnce), effect == Some(RepeatSafety::Tokened))
+            let fits = |entry: &&(u64, u64)| {
+                entry.0 == *destination
+                    && is_sendable(engine, entry.1)
+                    && may_repeat(engine, &engine.webhooks[&entry.1], &route.zone)
+            };
+            let risk = |entry: &&(u64, u64)| {
+                let repeat_safety = engine
+                    .event_types
+                    .get(&engine.webhooks[&entry.1].event_type)
+                    .map(|event_type| event_type.repeat_safety);
+                (
+                    repeat_safety == Some(RepeatSafety::AtMostOnce),
+                    repeat_safety == Some(RepeatSafety::Tokened),
+                )
             };
-            if let Some(x) = all.iter().filter(fits).min_by_key(harm) {
-                return Some((x.1, ep.clone()));
+            if let Some(entry) = all.iter().filter(fits).min_by_key(risk) {
+                return Some((entry.1, endpoint.clone()));
             }
         }
     }
     None
 }
 
-fn next(l: &Logic) -> f64 {
-    let mut at = if l.watch.ask && !l.watch.watching { l.watch.ask_at } else { f64::INFINITY };
-    for (dest, id) in held(l) {
-        let eps = l.dests.get(&dest).into_iter().flatten();
-        let times = eps.map(|ep| l.free_at(ep, &l.routes[ep])).filter(|t| *t > l.now);
-        let w = &l.webhooks[&id];
-        let own = w.not_before.max(l.turn_at(id, w));
-        let route = if own > l.now { own } else { times.fold(f64::INFINITY, f64::min) };
-        at = at.min(l.repeat_until(w)).min(w.ttl_at - 0.005).min(route);
+fn next_rule_at(engine: &RuleEngine) -> f64 {
+    let mut due_at = if engine.list_watch.required && !engine.list_watch.active {
+        engine.list_watch.request_at
+    } else {
+        f64::INFINITY
+    };
+    for (destination, id) in pending(engine) {
+        let endpoints = engine.endpoints.get(&destination).into_iter().flatten();
+        let times = endpoints
+            .map(|endpoint| engine.available_at(endpoint, &engine.routes[endpoint]))
+            .filter(|time| *time > engine.now);
+        let webhook = &engine.webhooks[&id];
+        let sendable_at = webhook.not_before.max(engine.key_turn_at(id, webhook));
+        let attempt_at =
+            if sendable_at > engine.now { sendable_at } else { times.fold(f64::INFINITY, f64::min) };
+        due_at =
+            due_at.min(engine.repeat_deadline(webhook)).min(webhook.ttl_deadline - 0.005).min(attempt_at);
     }
-    if l.busy >= l.caps.slots && !l.held.is_empty() && l.caps.may_call_off {
-        at = l.patience_ends().map(|c| c.0).fold(at, f64::min);
+    if engine.used_slots >= engine.limits.slots && !engine.pending.is_empty() && engine.limits.may_cancel {
+        due_at = engine.call_timeouts().map(|call| call.0).fold(due_at, f64::min);
     }
-    at.max(l.now + 0.01)
+    due_at.max(engine.now + 0.01)
 }
 
-fn spare(l: &Logic) -> Option<Name> {
-    let all = held(l);
-    let is = |r: &Route| {
-        let (until, good) = l.thrift.get(&r.kind).copied().unwrap_or((l.now, 0));
-        let rare = good < 30 && r.call_gap > l.idle_for;
-        r.links > r.calls.len() && (l.now < until || rare) && !all.iter().any(|x| x.0 == r.dest)
+fn idle_to_close(engine: &RuleEngine) -> Option<Name> {
+    let all = pending(engine);
+    let closable = |route: &Route| {
+        let (scarce_until, delivered) =
+            engine.connection_scarcity.get(&route.destination_kind).copied().unwrap_or((engine.now, 0));
+        let rarely_used = delivered < 30 && route.last_call_gap > engine.idle_timeout;
+        route.connections > route.calls.len()
+            && (engine.now < scarce_until || rarely_used)
+            && !all.iter().any(|entry| entry.0 == route.destination)
     };
-    l.routes.iter().find(|(_, r)| is(r)).map(|x| x.0.clone())
+    engine.routes.iter().find(|(_, route)| closable(route)).map(|entry| entry.0.clone())
 }
 
+/// Records the attempts that were started.
 #[derive(Default)]
-struct Desk {
-    out: Vec<(u64, String, f64)>,
+struct AttemptLog {
+    in_flight: Vec<(u64, String, f64)>,
 }
 
-impl ActionSink for Desk {
+impl ActionSink for AttemptLog {
     fn start_attempt(&mut self, webhook_id: u64, endpoint: &str, _: f64) {
-        self.out.push((webhook_id, endpoint.into(), 0.0));
+        self.in_flight.push((webhook_id, endpoint.into(), 0.0));
     }
     fn cancel_attempt(&mut self, _: u64, _: u32) {}
     fn reject(&mut self, _: u64, _: f64) {}
@@ -120,115 +155,131 @@
     }
 }
 
-/// Goes through the rules as `settle` does, with each index compared before each firing.
-fn settle(l: &mut Logic, desk: &mut Desk) {
-    let picked = |p: Option<Pick>| match p {
-        Some(Pick::Webhook(id)) => Some((id, Name::from(""))),
-        Some(Pick::Send(id, ep)) => Some((id, ep)),
-        Some(Pick::Route(ep)) => Some((0, ep)),
+/// Applies the rules as `run_rules` does, and compares each index with its scan before each firing.
+fn run_rules(engine: &mut RuleEngine, attempts: &mut AttemptLog) {
+    let selected = |target: Option<RuleTarget>| match target {
+        Some(RuleTarget::Webhook(id)) => Some((id, Name::from(""))),
+        Some(RuleTarget::Attempt(id, endpoint)) => Some((id, endpoint)),
+        Some(RuleTarget::Route(endpoint)) => Some((0, endpoint)),
         _ => None,
     };
     loop {
-        l.refresh();
-        let alone = |id: Option<u64>| id.map(|id| (id, Name::from("")));
-        assert_eq!(picked(l.out_of_time()), alone(late(l)), "out of time");
-        if late(l).is_none() {
-            assert_eq!(picked(l.spent()), alone(spent(l)), "spent");
+        engine.refresh_indexes();
+        let without_endpoint = |id: Option<u64>| id.map(|id| (id, Name::from("")));
+        assert_eq!(selected(engine.expired()), without_endpoint(expired(engine)), "expired");
+        if expired(engine).is_none() {
+            assert_eq!(selected(engine.exhausted()), without_endpoint(exhausted(engine)), "exhausted");
         }
-        if late(l).is_none() && spent(l).is_none() {
-            assert_eq!(picked(l.trial_due()), trial(l), "trial");
-            assert_eq!(picked(l.sendable()), sendable(l), "send");
-            assert_eq!(picked(l.spare_links()), spare(l).map(|ep| (0, ep)), "links");
-            let (indexed, scanned) = (l.next_at(), next(l));
-            assert!(indexed == scanned, "next wake {indexed}, by scan {scanned}");
+        if expired(engine).is_none() && exhausted(engine).is_none() {
+            assert_eq!(selected(engine.due_probe()), due_probe(engine), "probe");
+            assert_eq!(selected(engine.next_attempt()), next_attempt(engine), "send");
+            assert_eq!(
+                selected(engine.idle_to_close()),
+                idle_to_close(engine).map(|endpoint| (0, endpoint)),
+                "close idle connections"
+            );
+            let (indexed, scanned) = (engine.next_rule_at(), next_rule_at(engine));
+            assert!(indexed == scanned, "next wake-up {indexed}, by scan {scanned}");
         }
-        let found = RULES.iter().find_map(|r| (r.when)(l).map(|p| (r, p)));
+        let found = RULES.iter().find_map(|rule| (rule.condition)(engine).map(|target| (rule, target)));
         match found {
-            Some((rule, pick)) => (rule.then)(l, pick, desk),
+            Some((rule, target)) => (rule.action)(engine, target, attempts),
             None => break,
         }
     }
-    if l.busy < l.caps.slots {
-        l.gates.seen();
+    if engine.used_slots < engine.limits.slots {
+        engine.idle_destinations.clear_available();
     }
 }
 
-fn open(ask: bool, slots: usize) -> Logic {
-    let mut l = Logic::new(0.0, 5, 1, 3);
-    let types = [
+fn engine(list_watch_required: bool, slots: usize) -> RuleEngine {
+    let mut engine = RuleEngine::new(0.0, 5, 1, 3);
+    let event_types = [
         ("idem", RepeatSafety::Idempotent, false, false, true),
         ("token", RepeatSafety::Tokened, false, false, false),
         ("once", RepeatSafety::AtMostOnce, false, false, true),
         ("line", RepeatSafety::Tokened, true, true, true),
     ];
-    for (name, effect, known_by_all, ordered, value_halves) in types {
-        let (target_latency, ttl, value, late_value_share, repeat_window) = (1.0, 6.0, 1.0, 0.3, 4.0);
+    for (name, repeat_safety, token_shared_by_zones, ordered, value_halves) in event_types {
+        let (target_latency, ttl, value, late_value_share, token_lifetime) = (1.0, 6.0, 1.0, 0.3, 4.0);
         let event_type = EventType {
             target_latency,
             ttl,
             value,
             late_value_share,
             value_halves,
-            effect,
-            repeat_window,
-            known_by_all,
+            repeat_safety,
+            token_lifetime,
+            token_shared_by_zones,
             ordered,
         };
-        l.types.insert(name.into(), event_type);
+        engine.event_types.insert(name.into(), event_type);
     }
-    l.kinds.insert("plain".into(), (1, false));
-    l.kinds.insert("apart".into(), (3, true));
-    l.customers.insert("c".into(), (2.0, 0.5, VecDeque::new()));
-    (l.caps.slots, l.caps.holds, l.caps.attempts, l.caps.may_call_off) = (slots, 60, 5, true);
-    l.cold = Cold { initial_share: 0.3, warm_up: 4.0, overload_multiple: 1.5, overload_span: 1.5 };
-    (l.idle_for, l.key_rest, l.watch.ask, l.watch.within) = (2.0, 0.4, ask, 5.0);
-    l
+    engine.destination_kinds.insert("plain".into(), (1, false));
+    engine.destination_kinds.insert("apart".into(), (3, true));
+    engine.customers.insert("c".into(), (2.0, 0.5, VecDeque::new()));
+    (engine.limits.slots, engine.limits.max_pending, engine.limits.max_attempts, engine.limits.may_cancel) =
+        (slots, 60, 5, true);
+    engine.cold_start =
+        ColdStart { initial_share: 0.3, warm_up: 4.0, overload_multiple: 1.5, overload_span: 1.5 };
+    (engine.idle_timeout, engine.key_cooldown, engine.list_watch.required, engine.list_watch.max_interval) =
+        (2.0, 0.4, list_watch_required, 5.0);
+    engine
 }
 
-fn list(l: &mut Logic, mode: ListUpdate, gone: usize) {
-    let names: Vec<String> = (0..10).map(|i| format!("e{i}")).collect();
-    let now = l.now;
-    let entry = |i: usize| ListedEndpoint {
-        endpoint: &names[i],
-        zone: ["x", "y"][i % 2],
-        destination_kind: if i < 6 { "plain" } else { "apart" },
-        destination: [1, 1, 1, 2, 2, 3, 4, 4, 5, 5][i],
-        ready: i != gone,
-        rate_limit: [6.0, 20.0, 0.0][i % 3],
-        started_at: [0.0, now - 1.0][i % 2],
+/// Lists ten endpoints, or only the one that is gone if the update contains changes.
+fn update_list(engine: &mut RuleEngine, update: ListUpdate, gone: usize) {
+    let names: Vec<String> = (0..10).map(|index| format!("e{index}")).collect();
+    let now = engine.now;
+    let entry = |index: usize| ListedEndpoint {
+        endpoint: &names[index],
+        zone: ["x", "y"][index % 2],
+        destination_kind: if index < 6 { "plain" } else { "apart" },
+        destination: [1, 1, 1, 2, 2, 3, 4, 4, 5, 5][index],
+        ready: index != gone,
+        rate_limit: [6.0, 20.0, 0.0][index % 3],
+        started_at: [0.0, now - 1.0][index % 2],
     };
     let entries: Vec<ListedEndpoint> =
-        (0..10).filter(|i| mode != ListUpdate::Changes || *i == gone).map(entry).collect();
-    l.list(l.now, mode, &entries);
+        (0..10).filter(|index| update != ListUpdate::Changes || *index == gone).map(entry).collect();
+    engine.update_list(engine.now, update, &entries);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 100, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn indexes_find_what_scans_find(
-        ask in any::<bool>(), slots in 1_usize..10,
+    fn indexes_select_the_same_as_scans_on_random_inputs(
+        list_watch_required in any::<bool>(), slots in 1_usize..10,
         steps in prop::collection::vec((0_u8..12, 0_usize..1_000, 0.0..0.3_f64), 20..300),
     ) {
-        let (mut l, mut desk, mut id) = (open(ask, slots), Desk::default(), 0);
-        list(&mut l, ListUpdate::Remembered, 99);
-        settle(&mut l, &mut desk);
-        for (what, n, after) in steps {
-            let now = l.now + if n % 3 == 0 { 0.0 } else { after };
-            l.now = now;
-            match what {
+        let (mut engine, mut attempts, mut id) =
+            (engine(list_watch_required, slots), AttemptLog::default(), 0);
+        update_list(&mut engine, ListUpdate::Remembered, 99);
+        run_rules(&mut engine, &mut attempts);
+        for (input, number, delay) in steps {
+            let now = engine.now + if number % 3 == 0 { 0.0 } else { delay };
+            engine.now = now;
+            match input {
                 0..=5 => {
                     id += 1;
-                    let event_type = ["idem", "token", "once", "line", "token", "idem", "token", "unknown"][n % 8];
-                    let key = (n % 8 == 3).then_some(["a", "b"][n % 2]);
-                    let left = if n % 11 == 0 { 0.3 } else { 6.0 };
-                    l.webhook(now, id, event_type, 1 + (n as u64 % 6).min(4), key, (n % 7 == 0).then_some("c"), left);
-                    if n % 13 == 0 {
-                        l.resumed(id, n as u32 % 5, (n % 2 == 0).then_some(("x", now - 1.0)));
+                    let event_type =
+                        ["idem", "token", "once", "line", "token", "idem", "token", "unknown"][number % 8];
+                    let key = (number % 8 == 3).then_some(["a", "b"][number % 2]);
+                    let ttl_left = if number % 11 == 0 { 0.3 } else { 6.0 };
+                    engine.accept(
+                        now, id, event_type, 1 + (number as u64 % 6).min(4), key,
+                        (number % 7 == 0).then_some("c"), ttl_left
+                    );
+                    if number % 13 == 0 {
+                        engine.resume(
+                            id, number as u32 % 5, (number % 2 == 0).then_some(("x", now - 1.0))
+                        );
                     }
                 }
-                6..=8 if !desk.out.is_empty() => {
-                    let (webhook, ep, _) = desk.out.remove(n % desk.out.len());
-                    let outcome = match n % 9 {
+                6..=8 if !attempts.in_flight.is_empty() => {
+                    let (webhook_id, endpoint, _) =
+                        attempts.in_flight.remove(number % attempts.in_flight.len());
+                    let outcome = match number % 9 {
                         0 => Outcome::Failed,
                         1 => Outcome::Full(0.0),
                         2 => Outcome::Full(0.7),
@@ -238,14 +289,20 @@
                         6 => Outcome::Moot(true),
                         _ => Outcome::Delivered,
                     };
-                    let report = (n % 4 == 0).then_some((0.4, 8.0));
-                    l.outcome(now, webhook, &ep, outcome, 0.1, outcome == Outcome::Delivered, report);
+                    let limit_report = (number % 4 == 0).then_some((0.4, 8.0));
+                    engine.attempt_ended(
+                        now, webhook_id, &endpoint, outcome, 0.1, outcome == Outcome::Delivered, limit_report
+                    );
                 }
-                9 => list(&mut l, [ListUpdate::Changes, ListUpdate::Whole, ListUpdate::Refused][n % 3], n % 10),
-                10 => l.withdrawn(now, 1 + n as u64 % id.max(1)),
-                _ => l.woken(now, 0),
+                9 => update_list(
+                    &mut engine,
+                    [ListUpdate::Changes, ListUpdate::Whole, ListUpdate::Refused][number % 3],
+                    number % 10
+                ),
+                10 => engine.withdraw(now, 1 + number as u64 % id.max(1)),
+                _ => engine.wake(now, 0),
             }
-            settle(&mut l, &mut desk);
+            run_rules(&mut engine, &mut attempts);
         }
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,199 +1,259 @@
-//! What the policy knows, as plain records: no decisions and no figures here.
+//! What the rule engine knows, as plain records. No decisions are made here.
+//!
+//! Unless said otherwise, times are seconds on the caller's clock, durations are seconds, and rates are calls
+//! per second.
 
 use crate::RepeatSafety;
 use crate::index::Timers;
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
 
+/// A shared text: the name of an endpoint, zone, destination kind or event type, or an ordering key.
 pub(crate) type Name = Rc<str>;
 
+/// The settings of an event type.
 #[derive(Default)]
 pub(crate) struct EventType {
     pub target_latency: f64,
     pub ttl: f64,
+    /// What a delivery within the target latency is worth.
     pub value: f64,
+    /// The share of `value` that is left for the latest delivery.
     pub late_value_share: f64,
+    /// Whether the value halves with each further target latency; otherwise it falls linearly until the TTL
+    /// ends.
     pub value_halves: bool,
-    pub effect: RepeatSafety,
-    pub repeat_window: f64,
-    pub known_by_all: bool,
+    pub repeat_safety: RepeatSafety,
+    /// How long an endpoint recognizes a repeat by its token.
+    pub token_lifetime: f64,
+    /// Whether all endpoints of the destination recognize a token, or only those of the zone that saw it
+    /// first.
+    pub token_shared_by_zones: bool,
+    /// Whether webhooks with the same ordering key are delivered in order.
     pub ordered: bool,
 }
 
+/// A webhook without a final answer.
 #[derive(Default)]
 pub(crate) struct Webhook {
     pub event_type: Name,
-    pub dest: u64,
-    pub key: Option<Name>,
-    pub over: bool,
-    pub target_at: f64,
-    pub ttl_at: f64,
-    pub tries: u32,
-    pub out: Option<Name>,
-    /// First attempt that may have run: the zone of its endpoint and when it was sent.
-    pub ran: Option<(Name, f64)>,
+    pub destination: u64,
+    /// Set only where the event type is ordered.
+    pub ordering_key: Option<Name>,
+    /// Whether it exceeded its customer's quota when it was accepted.
+    pub over_quota: bool,
+    /// When its target latency ends.
+    pub target_deadline: f64,
+    /// When its TTL ends.
+    pub ttl_deadline: f64,
+    /// Attempts made so far.
+    pub attempts: u32,
+    /// The endpoint of the attempt in flight.
+    pub in_flight_to: Option<Name>,
+    /// The first attempt that may have run: the zone of its endpoint and when it was sent.
+    pub may_have_run: Option<(Name, f64)>,
+    /// When the next attempt may be made at the earliest.
     pub not_before: f64,
-    pub ended: bool,
+    pub withdrawn: bool,
 }
 
+/// A call in flight.
 #[derive(Default)]
 pub(crate) struct Call {
-    pub at: f64,
-    pub trial: bool,
-    pub judged: bool,
-    pub called_off: bool,
-    pub idle: bool,
-    pub webhooks: BTreeSet<u64>,
+    pub sent_at: f64,
+    /// Whether it probes a route whose circuit is open.
+    pub probe: bool,
+    /// Whether one of its webhooks has already reported the outcome, which is the same for all of them.
+    pub evaluated: bool,
+    pub cancelled: bool,
+    /// Whether it went out on a connection that had been idle.
+    pub on_idle_connection: bool,
+    /// The webhooks whose outcome is still missing.
+    pub webhook_ids: BTreeSet<u64>,
 }
 
+/// The result of a finished call, from which a route's health is computed.
 pub(crate) struct Sample {
-    pub at: f64,
-    pub good: bool,
-    pub incident: bool,
-    pub took: f64,
+    pub ended_at: f64,
+    pub delivered: bool,
+    /// Whether the connection could not be made or was reset.
+    pub connection_error: bool,
+    pub duration: f64,
 }
 
+/// An endpoint as this sender sees it.
 #[derive(Default)]
 pub(crate) struct Route {
-    pub dest: u64,
-    pub kind: Name,
+    pub destination: u64,
+    pub destination_kind: Name,
     pub zone: Name,
-    pub batch: usize,
-    pub apart: bool,
-    pub rate: f64,
-    pub way: f64,
+    /// Webhooks in one call, at most.
+    pub max_batch: usize,
+    /// Whether it has rate limits, waits and outages of its own instead of sharing its destination's.
+    pub independent: bool,
+    /// The rate limit for all senders according to the endpoint list; 0 when unknown.
+    pub listed_rate: f64,
+    /// Cost of the path to its zone; only the order of costs matters.
+    pub zone_cost: f64,
+    /// Whether it is listed and accepts new calls.
     pub ready: bool,
+    /// Calls that may be in flight at once; grows with deliveries and shrinks with failures.
     pub window: f64,
     pub calls: Vec<Call>,
     pub samples: VecDeque<Sample>,
-    /// What the samples say: how long answers take at the slow end, and the score.
-    pub slow: f64,
-    pub score: f64,
-    pub bad_row: u32,
-    /// When the first call of the row, or of the outage, went wrong.
-    pub bad_since: f64,
-    pub open: bool,
-    pub trial_at: f64,
-    pub cooling: f64,
-    /// Refused, while others of its destination could be asked: left to them until then.
-    pub aside: f64,
-    /// When its last call ended, if it did not go well.
-    pub unwell_at: Option<f64>,
-    pub answered: f64,
-    pub used: f64,
-    /// When the last call went out, and how long after the one before.
-    pub call_at: f64,
-    pub call_gap: f64,
-    /// Connections are short: the window stays as it is until then.
-    pub short_until: f64,
-    /// Connections open at most, and when none could be had.
-    pub links: usize,
-    pub no_link_at: Option<f64>,
-    /// Back from an outage that this sender saw, or still in one, and when it answered again.
-    pub outage: bool,
-    /// Its last start, where the list tells one.
-    pub born: f64,
-    pub back: Option<f64>,
+    /// Computed from `samples`: how long slow answers take.
+    pub tail_latency: f64,
+    /// Computed from `samples`: higher is healthier.
+    pub health_score: f64,
+    pub consecutive_failures: u32,
+    /// When the first call of the consecutive failures, or of the outage, failed.
+    pub failing_since: f64,
+    /// An open circuit admits only one probe call at a time.
+    pub circuit_open: bool,
+    /// When the next probe is due.
+    pub probe_at: f64,
+    /// Pause before a probe; grows while probes fail.
+    pub probe_pause: f64,
+    /// It refused a call while others of its destination were usable; calls go to those until this time.
+    pub skip_until: f64,
+    /// When its last call ended, if that call was not delivered.
+    pub last_failed_at: Option<f64>,
+    pub last_answer_at: f64,
+    pub last_used_at: f64,
+    /// When the last call was sent, and how long after the one before it.
+    pub last_call_at: f64,
+    pub last_call_gap: f64,
+    /// Connections are scarce; the window does not grow before this time.
+    pub window_fixed_until: f64,
+    /// Upper bound of the connections that are open.
+    pub connections: usize,
+    pub connect_failed_at: Option<f64>,
+    /// In an outage that this sender has seen, or cold after one.
+    pub cold: bool,
+    /// Its last start according to the endpoint list.
+    pub started_at: f64,
+    /// When it answered again after the outage, or started.
+    pub recovered_at: Option<f64>,
 }
 
-/// What shares a limit, waits and outages: a destination, or one route of it where routes are apart.
-pub(crate) type Scope = (u64, Option<Name>);
-/// What decides how held webhooks of a destination are treated alike: event type, whether beyond their
-/// customer's share, and the zone that alone knows them for a repeat.
-pub(crate) type Group = (Name, bool, Option<Name>);
+/// What shares a rate limit, waits and outages: a destination, or one endpoint of it where endpoints are
+/// independent.
+pub(crate) type LimitScope = (u64, Option<Name>);
+
+/// Pending webhooks of a destination that are routed alike: the event type, whether they exceed their
+/// customer's quota, and the only zone that would recognize them as repeats.
+pub(crate) type WebhookGroup = (Name, bool, Option<Name>);
 
-/// Late or not, the value with its sign turned, the target time: least first.
-pub(crate) type Rank = (u8, f64, f64);
+/// Sending order, least first: late or not, the negated value, the target deadline.
+pub(crate) type SendRank = (u8, f64, f64);
 
-/// Most calls out at once, webhooks held and attempts for one, and whether calls may be called off.
+/// Limits of the sender, from its settings.
 #[derive(Default)]
-pub(crate) struct Caps {
+pub(crate) struct SenderLimits {
+    /// Calls in flight at once.
     pub slots: usize,
-    pub holds: usize,
-    pub attempts: u32,
-    pub may_call_off: bool,
+    /// Webhooks without a final answer.
+    pub max_pending: usize,
+    /// Attempts for one webhook.
+    pub max_attempts: u32,
+    /// Whether calls in flight may be cancelled.
+    pub may_cancel: bool,
 }
 
-/// When routes have been unused for the time in which they age, those that have, and when they are looked at.
+/// Finds routes that were not used for long enough to forget what is known of them.
 #[derive(Default)]
-pub(crate) struct Ages {
+pub(crate) struct UnusedRoutes {
     pub timers: Timers<Name>,
     pub due: BTreeSet<Name>,
-    pub next: f64,
+    pub next_check_at: f64,
 }
 
-/// How the list is followed.
+/// The watch on the endpoint list.
 #[derive(Default)]
-pub(crate) struct Watch {
-    /// It has to be asked for, within which time, and after which pause at most once a call has failed.
-    pub ask: bool,
-    pub within: f64,
-    pub pause: f64,
-    pub watching: bool,
-    pub ask_at: f64,
-    pub refusals: u32,
+pub(crate) struct ListWatch {
+    /// Whether the watch has to be requested at all.
+    pub required: bool,
+    /// How long the sender may go without requesting it.
+    pub max_interval: f64,
+    /// The longest pause after a failed request.
+    pub max_retry_pause: f64,
+    pub active: bool,
+    /// When the next request is due.
+    pub request_at: f64,
+    pub consecutive_refusals: u32,
 }
 
+/// The state of a rate limit that all senders share, as far as this sender knows it.
 #[derive(Default)]
-pub(crate) struct Meter {
+pub(crate) struct RateLimiter {
+    /// No calls before this time: the destination asked for a wait, or refused calls.
     pub wait_until: f64,
-    pub sent: VecDeque<f64>,
-    /// Its share of the limit, and the least that refusals leave of it.
+    /// When the last calls were sent, oldest first.
+    pub sent_at: VecDeque<f64>,
+    /// This sender's share of the limit, and the least that refusals reduce it to.
     pub share: f64,
-    pub least: f64,
-    pub full_row: u32,
-    pub full_since: f64,
-    /// When its limit was last full though it takes calls.
-    pub full_at: f64,
-    pub limits: VecDeque<(f64, f64)>,
-    pub left: Option<(f64, f64)>,
-    /// When this sender's part of the cold budget has room for the next call.
-    pub cold_due: f64,
-    /// When a call was last delivered there.
-    pub well_at: Option<f64>,
-    /// The calls that failed since.
-    pub failing: Option<Failing>,
+    pub min_share: f64,
+    pub consecutive_refusals: u32,
+    pub refused_since: f64,
+    /// When a call was last refused because the limit was reached, although the destination accepts calls.
+    pub limit_reached_at: f64,
+    /// Reported limits with the time of each report.
+    pub reported_limits: VecDeque<(f64, f64)>,
+    /// The last reported share of the limit that is left, and when it was reported.
+    pub reported_remaining: Option<(f64, f64)>,
+    /// When this sender's part of the cold budget allows the next call.
+    pub next_cold_call_at: f64,
+    /// When a call was last delivered.
+    pub last_delivered_at: Option<f64>,
+    /// The calls that failed since then.
+    pub failures: Option<FailureRun>,
 }
 
-/// Calls that failed one after another, in whatever way, with none delivered between.
+/// Calls that failed in whatever way, with none delivered in between.
 #[derive(Clone, Copy)]
-pub(crate) struct Failing {
+pub(crate) struct FailureRun {
     /// When the first of them failed.
     pub since: f64,
-    /// It, and those that were sent since then.
+    /// The first one and all that were sent after it failed.
     pub calls: u32,
-    /// Of these, ones that were not turned away.
-    pub lost: u32,
+    /// Those of `calls` that failed in another way than a refusal.
+    pub not_refused: u32,
 }
 
-/// What a destination takes after an outage: `from` of its capacity, all of it after `warm` seconds. It falls over when
-/// sent more than `multiple` times what it can do for `span` seconds.
+/// The capacity of a destination after an outage: `initial_share` at first, all of it after `warm_up`
+/// seconds. It is overloaded by more than `overload_multiple` times its capacity over `overload_span`
+/// seconds.
 #[derive(Clone, Copy)]
-pub(crate) struct Cold {
+pub(crate) struct ColdStart {
     pub initial_share: f64,
     pub warm_up: f64,
     pub overload_multiple: f64,
     pub overload_span: f64,
 }
 
-impl Cold {
-    /// The share of its capacity that it has so many seconds after its return.
-    pub fn part(&self, since: f64) -> f64 {
-        (self.initial_share + (1.0 - self.initial_share) * since / self.warm_up).min(1.0)
+impl ColdStart {
+    /// The share of its capacity that a destination has `elapsed` seconds after its recovery.
+    pub fn capacity_share(&self, elapsed: f64) -> f64 {
+        (self.initial_share + (1.0 - self.initial_share) * elapsed / self.warm_up).min(1.0)
     }
 }
 
-impl Default for Cold {
+impl Default for ColdStart {
     fn default() -> Self {
-        Cold { initial_share: 1.0, warm_up: 0.0, overload_multiple: f64::INFINITY, overload_span: 1.0 }
+        ColdStart { initial_share: 1.0, warm_up: 0.0, overload_multiple: f64::INFINITY, overload_span: 1.0 }
     }
 }
 
-/// What a rule's condition found for its effect to act on.
-pub(crate) enum Pick {
+/// What a rule's condition selected for its action.
+pub(crate) enum RuleTarget {
+    /// A webhook, by id.
     Webhook(u64),
-    Send(u64, Name),
+    /// An attempt for a webhook at an endpoint.
+    Attempt(u64, Name),
+    /// An endpoint.
     Route(Name),
+    /// A time.
     At(f64),
+    /// Nothing in particular.
     Any,
 }
