--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,5 +1,6 @@
-//! Hosts many isolated senders on the simulator's wire: one JSON line in, one JSON line out. It turns fields
-//! into calls, milliseconds into seconds and effects into actions, and decides nothing.
+//! Hosts many isolated senders behind the simulator's wire, where each line is a JSON message: one in, one
+//! out. It turns fields into calls, milliseconds into seconds and actions into messages, and makes no
+//! decisions.
 
 mod settings;
 
@@ -9,56 +10,67 @@
 use std::io::{self, BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// What is wrong with a line: the event and field (empty where the line as a whole is meant), and the fault.
-pub(crate) type Fault = (String, String, &'static str);
+/// Why a line is invalid: the event and the field (empty if the line as a whole is meant), and what is wrong
+/// with it.
+pub(crate) type InputError = (String, String, &'static str);
 
-pub(crate) fn field<'a>(event: &str, at: &'a Value, name: &str) -> Result<&'a Value, Fault> {
-    match at.get(name) {
-        Some(v) if !v.is_null() => Ok(v),
+/// A required field. `event` is only for the error, here and in the functions below.
+pub(crate) fn field<'a>(event: &str, object: &'a Value, name: &str) -> Result<&'a Value, InputError> {
+    match object.get(name) {
+        Some(value) if !value.is_null() => Ok(value),
         _ => Err((event.into(), name.into(), "is missing")),
     }
 }
 
-pub(crate) fn number(event: &str, at: &Value, name: &str) -> Result<f64, Fault> {
-    let v = field(event, at, name)?.as_f64().ok_or((event.into(), name.into(), "is not a number"))?;
-    if v.abs() > 1e15 { Err((event.into(), name.into(), "is out of range")) } else { Ok(v) }
+/// A required number.
+pub(crate) fn number(event: &str, object: &Value, name: &str) -> Result<f64, InputError> {
+    let value = field(event, object, name)?.as_f64().ok_or((event.into(), name.into(), "is not a number"))?;
+    if value.abs() > 1e15 { Err((event.into(), name.into(), "is out of range")) } else { Ok(value) }
 }
 
-pub(crate) fn positive(event: &str, at: &Value, name: &str) -> Result<f64, Fault> {
-    let v = number(event, at, name)?;
-    if v < 0.0 { Err((event.into(), name.into(), "is below zero")) } else { Ok(v) }
+/// A required number that is not negative.
+pub(crate) fn non_negative(event: &str, object: &Value, name: &str) -> Result<f64, InputError> {
+    let value = number(event, object, name)?;
+    if value < 0.0 { Err((event.into(), name.into(), "is negative")) } else { Ok(value) }
 }
 
-pub(crate) fn whole(event: &str, at: &Value, name: &str) -> Result<u64, Fault> {
-    field(event, at, name)?.as_u64().ok_or((event.into(), name.into(), "is not a whole number"))
+/// A required integer that is not negative.
+pub(crate) fn whole_number(event: &str, object: &Value, name: &str) -> Result<u64, InputError> {
+    field(event, object, name)?.as_u64().ok_or((event.into(), name.into(), "is not a whole number"))
 }
 
-pub(crate) fn text<'a>(event: &str, at: &'a Value, name: &str) -> Result<&'a str, Fault> {
-    field(event, at, name)?.as_str().ok_or((event.into(), name.into(), "is not a text"))
+/// A required string.
+pub(crate) fn text<'a>(event: &str, object: &'a Value, name: &str) -> Result<&'a str, InputError> {
+    field(event, object, name)?.as_str().ok_or((event.into(), name.into(), "is not a string"))
 }
 
-pub(crate) fn list<'a>(event: &str, at: &'a Value, name: &str) -> Result<&'a Vec<Value>, Fault> {
-    field(event, at, name)?.as_array().ok_or((event.into(), name.into(), "is not an array"))
+/// A required array.
+pub(crate) fn array<'a>(event: &str, object: &'a Value, name: &str) -> Result<&'a Vec<Value>, InputError> {
+    field(event, object, name)?.as_array().ok_or((event.into(), name.into(), "is not an array"))
 }
 
-/// Absent and null alike give the default; anything else must be of the right type.
-pub(crate) fn flag(event: &str, at: &Value, name: &str) -> Result<bool, Fault> {
-    match at.get(name) {
+/// An optional boolean, false if absent or null.
+pub(crate) fn flag(event: &str, object: &Value, name: &str) -> Result<bool, InputError> {
+    match object.get(name) {
         None | Some(Value::Null) => Ok(false),
-        Some(v) => v.as_bool().ok_or((event.into(), name.into(), "is not true or false")),
+        Some(value) => value.as_bool().ok_or((event.into(), name.into(), "is not a boolean")),
     }
 }
 
-pub(crate) fn text_if<'a>(event: &str, at: &'a Value, name: &str) -> Result<Option<&'a str>, Fault> {
-    match at.get(name) {
+/// An optional string; absent, null and 0 all mean none.
+pub(crate) fn optional_text<'a>(
+    event: &str, object: &'a Value, name: &str,
+) -> Result<Option<&'a str>, InputError> {
+    match object.get(name) {
         None | Some(Value::Null) => Ok(None),
-        Some(v) if v.as_f64() == Some(0.0) => Ok(None),
-        Some(_) => text(event, at, name).map(Some),
+        Some(value) if value.as_f64() == Some(0.0) => Ok(None),
+        Some(_) => text(event, object, name).map(Some),
     }
 }
 
-pub(crate) fn number_if(event: &str, at: &Value, name: &str, or: f64) -> Result<f64, Fault> {
-    if at.get(name).is_none_or(Value::is_null) { Ok(or) } else { positive(event, at, name) }
+/// An optional number that is not negative, with a default if absent or null.
+pub(crate) fn number_or(event: &str, object: &Value, name: &str, default: f64) -> Result<f64, InputError> {
+    if object.get(name).is_none_or(Value::is_null) { Ok(default) } else { non_negative(event, object, name) }
 }
 
 /// The actions of one instance in one reply.
@@ -66,7 +78,9 @@
 
 impl ActionSink for Actions {
     fn start_attempt(&mut self, webhook_id: u64, endpoint: &str, give_up_at: f64) {
-        self.0.push(json!({"kind": "Assign", "ref": webhook_id, "receiver": endpoint, "stop-at-ms": give_up_at * 1e3}));
+        self.0.push(
+            json!({"kind": "Assign", "ref": webhook_id, "receiver": endpoint, "stop-at-ms": give_up_at * 1e3}),
+        );
     }
     fn cancel_attempt(&mut self, webhook_id: u64, attempt_number: u32) {
         self.0.push(json!({"kind": "CallOff", "ref": webhook_id, "hop": attempt_number}));
@@ -91,14 +105,16 @@
     }
 }
 
-/// One instance: its sender, and where the two report values stand in a row of telemetry.
+/// A sender, and how its messages are to be read.
 struct Instance {
     sender: Sender,
-    report: (Option<usize>, Option<usize>),
-    /// The list tells rates; else what stands there means nothing.
-    listed: bool,
+    /// Positions of the two values of a limit report in the telemetry of an outcome.
+    limit_report: (Option<usize>, Option<usize>),
+    /// Whether the endpoint list contains rates; if not, the field has another meaning and is ignored.
+    lists_rates: bool,
 }
 
+/// All instances, and the endpoint lists that were received, by number.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<String, Instance>,
@@ -106,41 +122,45 @@
 }
 
 impl Host {
-    fn batch(&mut self, line: &str) -> Result<Value, Fault> {
-        let whole_line = |why| (String::new(), String::new(), why);
+    /// Processes a line with the events of several instances and returns the reply.
+    fn batch(&mut self, line: &str) -> Result<Value, InputError> {
+        let whole_line = |reason| (String::new(), String::new(), reason);
         let batch: Value = serde_json::from_str(line).map_err(|_| whole_line("is no JSON"))?;
         if !batch.is_object() {
             return Err(whole_line("is no object"));
         }
         let now = number("batch", &batch, "moment-ms")? / 1e3;
         let mut replies = Vec::new();
-        for group in list("batch", &batch, "senders")? {
+        for group in array("batch", &batch, "senders")? {
             let id = text("batch", group, "i")?;
-            let mut out = Actions(Vec::new());
-            for event in list("batch", group, "inbox")? {
-                self.event(now, id, event, &mut out)?;
+            let mut actions = Actions(Vec::new());
+            for event in array("batch", group, "inbox")? {
+                self.event(now, id, event, &mut actions)?;
             }
-            if !out.0.is_empty() {
-                replies.push(json!({"i": id, "out": out.0}));
+            if !actions.0.is_empty() {
+                replies.push(json!({"i": id, "out": actions.0}));
             }
         }
         Ok(json!({"senders": replies}))
     }
 
-    fn event(&mut self, now: f64, id: &str, at: &Value, out: &mut Actions) -> Result<(), Fault> {
-        let kind = text("event", at, "kind")?;
+    /// Processes an event of an instance, which may create or remove the instance.
+    fn event(&mut self, now: f64, id: &str, event: &Value, actions: &mut Actions) -> Result<(), InputError> {
+        let kind = text("event", event, "kind")?;
         match kind {
             "Ledger" => {
-                self.lists.insert(whole(kind, at, "buffer")?, list(kind, at, "rows-in")?.clone());
+                self.lists
+                    .insert(whole_number(kind, event, "buffer")?, array(kind, event, "rows-in")?.clone());
                 return Ok(());
             }
             "OpenInstance" => {
-                let sender = settings::open(now, whole(kind, at, "salt")?, field(kind, at, "facts")?)?;
-                let fields = at["facts"]["report"]["fields"].as_array().cloned().unwrap_or_default();
-                let place = |name: &str| fields.iter().position(|f| f == name);
-                let report = (place("x0"), place("x1"));
-                let listed = text_if(kind, &at["facts"], "weights")? != Some("none");
-                self.instances.insert(id.into(), Instance { sender, report, listed });
+                let sender =
+                    settings::open(now, whole_number(kind, event, "salt")?, field(kind, event, "facts")?)?;
+                let fields = event["facts"]["report"]["fields"].as_array().cloned().unwrap_or_default();
+                let position = |name: &str| fields.iter().position(|field| field == name);
+                let limit_report = (position("x0"), position("x1"));
+                let lists_rates = optional_text(kind, &event["facts"], "weights")? != Some("none");
+                self.instances.insert(id.into(), Instance { sender, limit_report, lists_rates });
                 return Ok(());
             }
             "Teardown" => {
@@ -148,29 +168,33 @@
                 return Ok(());
             }
             "Topology" | "Ask" | "ReportBack" | "Vanished" | "Reminder" => {}
-            // News that no decision uses, and kinds that are not known.
+            // Events that no decision needs, and unknown ones.
             _ => return Ok(()),
         }
         let Some(instance) = self.instances.get_mut(id) else {
             return Err((kind.into(), "i".into(), "names an instance that is not open"));
         };
         let lists = &self.lists;
-        let decided = catch_unwind(AssertUnwindSafe(|| instance.event(now, kind, at, lists, out)));
+        let decided = catch_unwind(AssertUnwindSafe(|| instance.event(now, kind, event, lists, actions)));
         decided.unwrap_or_else(|_| {
-            out.0.push(json!({"kind": "InternalError", "body-text": format!("a decision failed on {kind}")}));
+            actions
+                .0
+                .push(json!({"kind": "InternalError", "body-text": format!("a decision failed on {kind}")}));
             Ok(())
         })
     }
 }
 
 impl Instance {
+    /// Passes an event to the sender.
     fn event(
-        &mut self, now: f64, kind: &str, at: &Value, lists: &BTreeMap<u64, Vec<Value>>, out: &mut Actions,
-    ) -> Result<(), Fault> {
+        &mut self, now: f64, kind: &str, event: &Value, lists: &BTreeMap<u64, Vec<Value>>,
+        actions: &mut Actions,
+    ) -> Result<(), InputError> {
         let sender = &mut self.sender;
         match kind {
             "Topology" => {
-                let mode = match text(kind, at, "mode")? {
+                let update = match text(kind, event, "mode")? {
                     "changes" => ListUpdate::Changes,
                     "all" => ListUpdate::Whole,
                     "remembered" => ListUpdate::Remembered,
@@ -178,8 +202,8 @@
                     _ => return Err((kind.into(), "mode".into(), "is not a known mode")),
                 };
                 let mut entries = Vec::new();
-                if mode != ListUpdate::Refused {
-                    let rows = lists.get(&whole(kind, at, "buffer")?);
+                if update != ListUpdate::Refused {
+                    let rows = lists.get(&whole_number(kind, event, "buffer")?);
                     let rows =
                         rows.ok_or((kind.into(), "buffer".into(), "names a list that has not come"))?;
                     for row in rows {
@@ -187,63 +211,75 @@
                             endpoint: text("Ledger", row, "receiver")?,
                             zone: text("Ledger", row, "locality")?,
                             destination_kind: text("Ledger", row, "generation-hw")?,
-                            destination: whole("Ledger", row, "owner-no")?,
+                            destination: whole_number("Ledger", row, "owner-no")?,
                             ready: text("Ledger", row, "state")? == "Ready",
-                            rate_limit: if self.listed {
-                                number_if("Ledger", row, "units", 0.0)?
+                            rate_limit: if self.lists_rates {
+                                number_or("Ledger", row, "units", 0.0)?
                             } else {
                                 0.0
                             },
-                            started_at: number_if("Ledger", row, "launched-ms", 0.0)? / 1e3,
+                            started_at: number_or("Ledger", row, "launched-ms", 0.0)? / 1e3,
                         });
                     }
                 }
-                sender.update_list(now, mode, &entries, out);
+                sender.update_list(now, update, &entries, actions);
             }
             "Ask" => sender.accept(
                 now,
-                whole(kind, at, "ref")?,
-                text(kind, at, "priority")?,
-                whole(kind, at, "bound-for")?,
-                text_if(kind, at, "key")?,
-                text_if(kind, at, "account")?,
-                number(kind, at, "remaining-ms")? / 1e3,
-                out,
+                whole_number(kind, event, "ref")?,
+                text(kind, event, "priority")?,
+                whole_number(kind, event, "bound-for")?,
+                optional_text(kind, event, "key")?,
+                optional_text(kind, event, "account")?,
+                number(kind, event, "remaining-ms")? / 1e3,
+                actions,
             ),
             "ReportBack" => {
-                let wait = number_if(kind, at, "hold-ms", 0.0)?;
-                let outcome = match text(kind, at, "reason")? {
+                let wait_ms = number_or(kind, event, "hold-ms", 0.0)?;
+                let outcome = match text(kind, event, "reason")? {
                     "Ok" => Outcome::Delivered,
                     "Failed" => Outcome::Failed,
-                    "QueueFull" => Outcome::Full(wait / 1e3),
+                    "QueueFull" => Outcome::Full(wait_ms / 1e3),
                     "TimedOut" => Outcome::TimedOut,
                     "ConnectError" => Outcome::ConnectFailed,
                     "ResetByPeer" => Outcome::Reset,
                     "Canceled" => Outcome::Cancelled,
-                    "Ignored" => Outcome::Moot(wait == 1.0),
+                    // Here the field holds a flag: 1 if no slot was free.
+                    "Ignored" => Outcome::Moot(wait_ms == 1.0),
                     _ => return Err((kind.into(), "reason".into(), "is not a known outcome")),
                 };
-                let row = at.get("telemetry").and_then(Value::as_array);
-                let value = |place: Option<usize>| row.and_then(|r| r.get(place?)).and_then(Value::as_f64);
-                let report = value(self.report.0).zip(value(self.report.1));
-                let took = number_if(kind, at, "delay-seen-ms", 0.0)? / 1e3;
-                let (id, ended) = (whole(kind, at, "ref")?, flag(kind, at, "final")?);
-                sender.attempt_ended(now, id, text(kind, at, "receiver")?, outcome, took, ended, report, out);
+                let telemetry = event.get("telemetry").and_then(Value::as_array);
+                let value = |position: Option<usize>| {
+                    telemetry.and_then(|values| values.get(position?)).and_then(Value::as_f64)
+                };
+                let limit_report = value(self.limit_report.0).zip(value(self.limit_report.1));
+                let duration = number_or(kind, event, "delay-seen-ms", 0.0)? / 1e3;
+                let (id, is_final) = (whole_number(kind, event, "ref")?, flag(kind, event, "final")?);
+                sender.attempt_ended(
+                    now,
+                    id,
+                    text(kind, event, "receiver")?,
+                    outcome,
+                    duration,
+                    is_final,
+                    limit_report,
+                    actions,
+                );
             }
-            "Vanished" => sender.withdraw(now, whole(kind, at, "ref")?, out),
-            _ => sender.wake(now, whole(kind, at, "handle")?, out),
+            "Vanished" => sender.withdraw(now, whole_number(kind, event, "ref")?, actions),
+            _ => sender.wake(now, whole_number(kind, event, "handle")?, actions),
         }
         Ok(())
     }
 }
 
 fn main() -> io::Result<()> {
-    // A failed decision is told on the wire, not printed.
+    // A panic in a decision is reported on the wire instead of being printed.
     std::panic::set_hook(Box::new(|_| {}));
     let mut host = Host::default();
     let (mut input, mut output) = (io::stdin().lock(), io::BufWriter::new(io::stdout().lock()));
     let mut line = Vec::new();
-    for count in 1_u64.. {
+    for line_number in 1_u64.. {
         line.clear();
         if input.read_until(b'\n', &mut line)? == 0 {
             break;
@@ -254,9 +290,9 @@
         };
         match reply {
             Ok(reply) => serde_json::to_writer(&mut output, &reply)?,
-            Err((event, field, why)) => {
+            Err((event, field, reason)) => {
                 let place = if event.is_empty() { String::new() } else { format!(": {event}: {field}") };
-                eprintln!("scalebarrow-wirehost: line {count}{place} {why}");
+                eprintln!("scalebarrow-wirehost: line {line_number}{place} {reason}");
                 std::process::exit(2);
             }
         }
