--- a/src/logic.rs
+++ b/src/logic.rs
@@ -126,6 +126,7 @@
 }
 
 impl RuleEngine {
+    /// An engine without settings; see [`crate::Sender::new`].
     pub fn new(now: f64, seed: u64, sender_index: u64, sender_count: u64) -> Self {
         let sender_count = sender_count.max(1) as f64;
         let mut engine = RuleEngine { now, sender_index, sender_count, ..RuleEngine::default() };
--- a/src/logic/cold_budget.rs
+++ b/src/logic/cold_budget.rs
@@ -34,7 +34,7 @@
     /// Seconds until each sender that may want a scope that is cold or in an outage has made one call within
     /// the cold budget. No more senders are counted than webhooks arrived since the failures began and have
     /// not expired.
-    pub(super) fn turn_duration(&self, route: &Route, limiter: Option<&RateLimiter>, since: f64) -> f64 {
+    pub(super) fn spread_duration(&self, route: &Route, limiter: Option<&RateLimiter>, since: f64) -> f64 {
         let rate = if route.listed_rate > 0.0 { route.listed_rate } else { self.rate_limit(route, limiter) };
         let longest_ttl = self.event_types.values().map(|event_type| event_type.ttl).fold(0.0, f64::max);
         // Other senders may have seen failures earlier than this one: possibly since its last delivery.
@@ -78,8 +78,9 @@
             self.routes.entry(endpoint.clone()).and_modify(|route| {
                 route.recovered_at = route.recovered_at.or(Some(now).filter(|_| answers))
             });
-            let turn = self.turn_duration(&self.routes[&endpoint], self.rate_limiters.get(scope), now - 4.0);
-            let due = now + turn * (0.2 + 1.6 * jitter);
+            let spread =
+                self.spread_duration(&self.routes[&endpoint], self.rate_limiters.get(scope), now - 4.0);
+            let due = now + spread * (0.2 + 1.6 * jitter);
             let latest = if answers { due } else { f64::INFINITY };
             let limiter = self.rate_limiters.entry(scope.clone()).or_default();
             limiter.next_cold_call_at =
--- a/src/logic/retries.rs
+++ b/src/logic/retries.rs
@@ -195,7 +195,7 @@
                 let growth = if has_room { 0.2 * limiter.share } else { 0.02 / sender_count };
                 (limiter.consecutive_refusals, limiter.share) =
                     (0, (limiter.share + growth).min(limiter.share.max(1.0)));
-                if now >= route.window_fixed_until {
+                if now >= route.window_growth_paused_until {
                     route.window = (route.window + 1.0).min((slots * 0.33).max(1.0));
                 }
                 if std::mem::take(&mut route.circuit_open) {
@@ -220,7 +220,7 @@
                     // No connection, yet others work: the calls in flight show how many it accepts. For 5 s,
                     // since idle connections of other senders close after some seconds.
                     route.window = route.window.min(route.calls.len() as f64).max(1.0);
-                    route.window_fixed_until = now + 5.0;
+                    route.window_growth_paused_until = now + 5.0;
                     route.consecutive_failures += 1;
                     return false;
                 }
@@ -275,13 +275,14 @@
                 .take_while(|sample| !sample.delivered)
                 .last()
                 .map_or(now, |sample| sample.ended_at);
-            let turn = self.turn_duration(
+            let spread = self.spread_duration(
                 &self.routes[&endpoint],
                 self.rate_limiters.get(&scope),
                 failing_since - 2.0,
             );
             if let Some(route) = self.routes.get_mut(&endpoint) {
-                route.probe_at = now + (probe_pause * (0.75 + 0.5 * jitter)).max(turn * (0.2 + 1.6 * jitter));
+                route.probe_at =
+                    now + (probe_pause * (0.75 + 0.5 * jitter)).max(spread * (0.2 + 1.6 * jitter));
             }
             // A third consecutive failure, or a failed probe, is an outage; fewer can be coincidence.
             if (probe && outcome != Outcome::Reset) || consecutive_failures >= 3 {
--- a/src/logic/routing.rs
+++ b/src/logic/routing.rs
@@ -210,7 +210,7 @@
             webhook.destination,
             route.circuit_open,
         );
-        let turn = self.turn_duration(route, self.rate_limiters.get(&scope), route.failing_since - 2.0);
+        let spread = self.spread_duration(route, self.rate_limiters.get(&scope), route.failing_since - 2.0);
         // The share to start with is an even part, or 1.3 even parts where endpoints share a limit. Where a
         // sender gets one call per TTL or less it is up to one call per second, as chance decides which
         // senders have webhooks; larger shares would exhaust the limit.
@@ -251,7 +251,7 @@
         if let Some(call) = joined {
             call.webhook_ids.insert(id);
             // A further webhook in a call is about a quarter of a call's work for the destination.
-            limiter.next_cold_call_at += if route.cold { 0.25 * turn } else { 0.0 };
+            limiter.next_cold_call_at += if route.cold { 0.25 * spread } else { 0.0 };
         } else {
             route.calls.push(Call {
                 sent_at: now,
@@ -265,7 +265,7 @@
             self.used_slots += 1;
             *self.calls_in_flight.entry(destination).or_default() += 1;
             limiter.next_cold_call_at =
-                limiter.next_cold_call_at.max(now) + if route.cold { turn } else { 0.0 };
+                limiter.next_cold_call_at.max(now) + if route.cold { spread } else { 0.0 };
             limiter.sent_at.push_back(now);
             // 400 calls: more than any destination accepts from one sender in a second.
             limiter.sent_at.drain(..limiter.sent_at.len().saturating_sub(400));
--- a/src/logic/waits.rs
+++ b/src/logic/waits.rs
@@ -122,15 +122,15 @@
         // The limit is used up: more calls are made than it admits, and refused ones count as well. The delay
         // grows until all senders together use half of it.
         let used_up = limit_reached && remaining.is_some_and(|remaining| remaining < 0.001);
-        let turn_share = [1.0, 0.0, 0.5][usize::from(limit_reached) + usize::from(used_up)];
-        let turn = turn_share * self.turn_duration(route, limiter, since);
+        let spread_share = [1.0, 0.0, 0.5][usize::from(limit_reached) + usize::from(used_up)];
+        let spread = spread_share * self.spread_duration(route, limiter, since);
         let max_pause = (8.0 * call_interval).max(if used_up { 2.0 * sender_count / rate } else { 0.0 });
         let limiter = self.rate_limiters.entry(scope.clone()).or_default();
         let pause = (call_interval * f64::from(1 << (limiter.consecutive_refusals - 1).min(9)))
             .min(max_pause)
             * (0.75 + 0.5 * jitter);
-        let spread = if limit_reached { pause.max(turn) } else { turn };
-        let delay = if wait > 0.0 { wait + spread * jitter } else { pause.max(turn * (0.2 + 1.6 * jitter)) };
+        let extra = if limit_reached { pause.max(spread) } else { spread };
+        let delay = if wait > 0.0 { wait + extra * jitter } else { pause.max(spread * (0.2 + 1.6 * jitter)) };
         limiter.wait_until = limiter.wait_until.max(now + delay);
         limiter.limit_reached_at = if limit_reached { now } else { f64::NEG_INFINITY };
         // The share shrinks by a fifth, or by half if far above an even part, since refused calls count
--- a/src/state.rs
+++ b/src/state.rs
@@ -124,7 +124,7 @@
     pub last_call_at: f64,
     pub last_call_gap: f64,
     /// Connections are scarce; the window does not grow before this time.
-    pub window_fixed_until: f64,
+    pub window_growth_paused_until: f64,
     /// Upper bound of the connections that are open.
     pub connections: usize,
     pub connect_failed_at: Option<f64>,
