--- a/src/logic/connections.rs
+++ b/src/logic/connections.rs
@@ -17,6 +17,7 @@
         self.unneeded_connections.first(set_index).map(RuleTarget::Route)
     }
 
+    /// Closes the idle connections to an endpoint.
     pub(super) fn close_idle_connections(&mut self, target: RuleTarget, actions: &mut dyn ActionSink) {
         let RuleTarget::Route(endpoint) = target else { return };
         actions.close_idle_connections(&endpoint);
--- a/src/logic/endpoint_list.rs
+++ b/src/logic/endpoint_list.rs
@@ -84,6 +84,7 @@
         }
     }
 
+    /// Whether a request for the watch on the endpoint list is due.
     pub(super) fn watch_due(&self) -> Option<RuleTarget> {
         (self.list_watch.required && !self.list_watch.active && self.now >= self.list_watch.request_at)
             .then_some(RuleTarget::Any)
@@ -95,6 +96,7 @@
         self.rng.next_f64() * (0.05 * (self.sender_count - 1.0)).min(self.list_watch.max_interval / 2.0)
     }
 
+    /// Requests the watch on the endpoint list.
     pub(super) fn request_list(&mut self, _: RuleTarget, actions: &mut dyn ActionSink) {
         actions.watch_list(true);
         // Without any answer, the next request is due well within the allowed interval.
--- a/src/logic/repeats.rs
+++ b/src/logic/repeats.rs
@@ -151,11 +151,13 @@
         }
     }
 
+    /// A pending webhook for which an attempt could no longer end within its TTL.
     pub(super) fn expired(&self) -> Option<RuleTarget> {
         self.pending.first_expired().map(RuleTarget::Webhook)
     }
 
-    /// No further attempt is allowed: all are used up, or one may have run and must not be repeated.
+    /// A pending webhook that is allowed no further attempt: all are used up, or one may have run and must
+    /// not be repeated.
     pub(super) fn exhausted(&self) -> Option<RuleTarget> {
         self.pending.first_exhausted().map(RuleTarget::Webhook)
     }
--- a/src/logic/retries.rs
+++ b/src/logic/retries.rs
@@ -74,6 +74,7 @@
         })
     }
 
+    /// Cancels the call in flight that carries a webhook, for all of its webhooks.
     pub(super) fn cancel_call(&mut self, target: RuleTarget, actions: &mut dyn ActionSink) {
         let RuleTarget::Webhook(id) = target else { return };
         for endpoint in &self.active_routes {
--- a/src/logic/wake.rs
+++ b/src/logic/wake.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl RuleEngine {
+    /// When the next wake-up is due, unless an early enough one is already scheduled.
     pub(super) fn wake_due(&self) -> Option<RuleTarget> {
         let due_at = self.next_rule_at();
         (due_at < f64::INFINITY && self.wake_at.is_none_or(|wake_at| wake_at > due_at + 0.005))
@@ -34,6 +35,7 @@
         due_at.max(self.now + 0.01)
     }
 
+    /// Schedules a wake-up.
     pub(super) fn schedule_wake(&mut self, target: RuleTarget, actions: &mut dyn ActionSink) {
         let RuleTarget::At(due_at) = target else { return };
         self.wake_at = Some(due_at);
