--- a/crates/sender/src/bridge.rs
+++ b/crates/sender/src/bridge.rs
@@ -2,13 +2,13 @@
 //! records in the journal and actions for the driver. It decides nothing.
 
 use crate::backlog::{Backlog, Resumable};
-use crate::clients::{HandIn, Reply};
+use crate::clients::{IncomingWebhook, Reply};
 use crate::clock;
 use crate::config::Config;
 use crate::counters::{Counters, Transition};
 use crate::endpoints::{self, Answer, Call, CalledWebhook, Ending, Load};
 use crate::journal::{End, Journal, Tries, Webhook, key_hash};
-use crate::list::{Health, News};
+use crate::list::{EndpointListUpdate, Health};
 use crate::notices::Notices;
 use crate::withheld::{RETRY_PAUSE, Withheld};
 use scalebarrow::{ActionSink, ListUpdate, ListedEndpoint, Outcome, Sender};
@@ -146,7 +146,7 @@
         log_found(&journal, &found, now);
         let backlog = found.into_iter().collect();
         let mut bridge = Bridge {
-            sender: config.open(now),
+            sender: config.create_sender(now),
             asked: Asked::default(),
             notices: Notices::new(),
             withheld: Withheld::default(),
@@ -159,14 +159,14 @@
             recent_order: VecDeque::new(),
             next: journal.next_number(),
             event_types: config.event_types(),
-            reports: config.reports(),
+            reports: config.responses_carry_reports(),
             journal,
             config,
         };
         bridge.journal.all_owed().into_iter().for_each(|number| bridge.notices.push(number));
         bridge.journal.take_ended().into_iter().for_each(|id| bridge.remember(id));
-        let known = std::mem::take(&mut bridge.config.known.hosts);
-        bridge.list(now, &News { seq: 0, whole: true, hosts: known }, true);
+        let known = std::mem::take(&mut bridge.config.known_list.endpoints);
+        bridge.list(now, &EndpointListUpdate { version: 0, is_complete: true, endpoints: known }, true);
         bridge
     }
 
@@ -242,9 +242,9 @@
 
     /// The configuration was read again. What is held and owed goes on.
     pub fn reread(&mut self, config: Config) {
-        config.tell(&mut self.sender);
-        (self.reports, self.event_types) = (config.reports(), config.event_types());
-        self.journal.set_most(config.limits.disk());
+        config.apply_to(&mut self.sender);
+        (self.reports, self.event_types) = (config.responses_carry_reports(), config.event_types());
+        self.journal.set_most(config.limits.disk_bytes());
         self.config = config;
     }
 
@@ -309,22 +309,22 @@
     }
 
     /// A webhook is handed in. The number is there where it was taken on just now.
-    pub fn hand_in(&mut self, now: f64, from: HandIn, body: Vec<u8>) -> (Reply, Option<u64>) {
+    pub fn hand_in(&mut self, now: f64, from: IncomingWebhook, body: Vec<u8>) -> (Reply, Option<u64>) {
         // Handed in once more because its connection closed under it, or by somebody else: it is taken on already, and
         // what was taken on stays as it is, whether it is open or just over.
         if self.recent.contains(&from.id) || self.journal.find(&from.id).is_some() {
             self.counters.count(Transition::Known);
             debug!(code = "known", id = from.id, "handed in again: it is taken on already");
-            return (Reply::Taken, None);
+            return (Reply::Accepted, None);
         }
-        let (ends_at, left) = (now + from.left, from.left);
-        let HandIn { id, event_type, dest, order_key, customer, token, .. } = from;
+        let (ends_at, left) = (now + from.remaining_secs, from.remaining_secs);
+        let IncomingWebhook { id, event_type, dest, order_key, customer, token, .. } = from;
         let webhook = Webhook { id, event_type, dest, order_key, customer, token, ends_at, body };
         // As long as the module does not know all that is held, it cannot judge whether there are too many.
-        let too_many = !self.backlog.is_empty() && self.journal.open_count() >= self.config.size().1;
+        let too_many = !self.backlog.is_empty() && self.journal.open_count() >= self.config.capacity().1;
         if too_many || !self.journal.has_room(&webhook) {
             self.counters.count(Transition::NoRoom);
-            return (Reply::NoRoom, None);
+            return (Reply::Unavailable, None);
         }
         let number = self.next;
         self.next += 1;
@@ -346,14 +346,14 @@
             (None, Some(Ok(()))) => {
                 self.counters.count(Transition::Taken);
                 debug!(code = "taken", id, number, dest, left, "a webhook is taken on");
-                (Reply::Taken, Some(number))
+                (Reply::Accepted, Some(number))
             }
             (None, Some(Err(e))) => {
                 self.counters.count(Transition::NoRoom);
                 error!(code = "journal-write", %e, "a webhook could not be taken on");
                 self.sender.withdraw(now, number, &mut self.asked);
                 self.settle(now);
-                (Reply::NoRoom, None)
+                (Reply::Unavailable, None)
             }
         }
     }
@@ -369,12 +369,12 @@
         let (id, ends_at) = (webhook.id.clone(), webhook.ends_at);
         if let Err(e) = self.journal.take(number, webhook) {
             error!(code = "journal-write", %e, "a webhook could not be taken on");
-            return (Reply::NoRoom, None);
+            return (Reply::Unavailable, None);
         }
         self.counters.count(Transition::Taken);
         debug!(code = "taken", id, number, "a webhook is taken on and waits for others with its key");
         self.backlog.add(Resumable { number, ends_at, key: Some(key) });
-        (Reply::Taken, Some(number))
+        (Reply::Accepted, Some(number))
     }
 
     /// The client went away before it heard that its webhook is taken on.
@@ -393,20 +393,21 @@
         self.settle(now);
     }
 
-    pub fn list(&mut self, now: f64, news: &News, remembered: bool) {
+    pub fn list(&mut self, now: f64, news: &EndpointListUpdate, remembered: bool) {
         let mut entries = Vec::new();
-        if news.whole {
+        if news.is_complete {
             // Those that left are not called any more; what is on its way has its address already.
-            let listed: BTreeSet<&str> = news.hosts.iter().map(|h| h.host.as_str()).collect();
+            let listed: BTreeSet<&str> = news.endpoints.iter().map(|h| h.name.as_str()).collect();
             let left = self.places.extract_if(.., |host, _| !listed.contains(host.as_str()));
             self.asked.actions.extend(left.map(|(host, _)| Action::CloseIdle(host)));
         }
-        for h in &news.hosts {
-            let Some(destination) = h.dest else { continue };
+        for h in &news.endpoints {
+            let Some(destination) = h.destination else { continue };
             let ready = h.health == Health::Serving;
-            let (endpoint, zone, destination_kind) = (h.host.as_str(), h.site.as_str(), h.kind.as_str());
-            let rate_limit = h.rate.filter(|_| self.config.lists_rates()).unwrap_or(0.0);
-            let born_ms = h.born_ms.unwrap_or(0.0);
+            let (endpoint, zone, destination_kind) =
+                (h.name.as_str(), h.zone.as_str(), h.destination_kind.as_str());
+            let rate_limit = h.rate_limit.filter(|_| self.config.list_has_rates()).unwrap_or(0.0);
+            let born_ms = h.started_unix_ms.unwrap_or(0.0);
             let started_at = self.born(now, endpoint, born_ms);
             debug!(code = "endpoint", ep = endpoint, dest = destination, kind = destination_kind, zone, rate = rate_limit, born = started_at, health = ?h.health, "an endpoint is listed");
             entries.push(ListedEndpoint {
@@ -419,22 +420,22 @@
                 started_at,
             });
             if h.health == Health::Deleted {
-                self.places.remove(&h.host);
-                self.asked.actions.push(Action::CloseIdle(h.host.clone()));
+                self.places.remove(&h.name);
+                self.asked.actions.push(Action::CloseIdle(h.name.clone()));
                 continue;
             }
-            let (dial, zone, batch) = (h.dial, h.site.clone(), self.config.batch(&h.kind));
-            let old = self.places.insert(h.host.clone(), Place { dial, zone, batch, born_ms });
+            let (dial, zone, batch) = (h.address, h.zone.clone(), self.config.max_batch(&h.destination_kind));
+            let old = self.places.insert(h.name.clone(), Place { dial, zone, batch, born_ms });
             if old.is_some_and(|p| p.dial != dial) {
-                self.asked.actions.push(Action::CloseIdle(h.host.clone()));
+                self.asked.actions.push(Action::CloseIdle(h.name.clone()));
             }
         }
-        let mode = match (remembered, news.whole) {
+        let mode = match (remembered, news.is_complete) {
             (true, _) => ListUpdate::Remembered,
             (false, true) => ListUpdate::Whole,
             (false, false) => ListUpdate::Changes,
         };
-        debug!(code = "listed", seq = news.seq, ?mode, "the list is told");
+        debug!(code = "listed", seq = news.version, ?mode, "the list is told");
         self.sender.update_list(now, mode, &entries, &mut self.asked);
         self.listed_at = now;
         self.settle(now);
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -1,6 +1,8 @@
 //! Those who hand in webhooks: what they ask, and what they are answered.
 
-use crate::http::{Decoder, Fields, Head, MOST_BODY, Message, Start, decode_time, encode_answer};
+use crate::http::{
+    Decoder, Headers, MAX_BODY_BYTES, Message, MessageHead, StartLine, decode_duration, encode_empty_response,
+};
 use std::collections::BTreeSet;
 
 /// Ids, keys and names of customers: longer ones are no ids.
@@ -11,7 +13,7 @@
 
 /// A webhook as it is handed in, less its body.
 #[derive(Debug, Clone, PartialEq)]
-pub struct HandIn {
+pub struct IncomingWebhook {
     /// The id that the client gave it.
     pub id: String,
     /// The name of its event type.
@@ -25,7 +27,7 @@
     /// The idempotency key.
     pub token: Option<String>,
     /// Seconds in which it may still be delivered.
-    pub left: f64,
+    pub remaining_secs: f64,
 }
 
 /// The methods that are told apart.
@@ -41,12 +43,12 @@
 pub struct RequestHead {
     method: Method,
     path: String,
-    hand_in: Option<HandIn>,
+    hand_in: Option<IncomingWebhook>,
 }
 
-impl Head for RequestHead {
-    fn decode(start: &Start, fields: &Fields) -> Self {
-        let Start::Request { method, target } = *start else {
+impl MessageHead for RequestHead {
+    fn decode(start: &StartLine, fields: &Headers) -> Self {
+        let StartLine::Request { method, target } = *start else {
             return RequestHead { method: Method::Other, path: String::new(), hand_in: None };
         };
         let method = match method {
@@ -62,7 +64,7 @@
     }
 }
 
-fn decode_hand_in(event_type: &str, fields: &Fields) -> Option<HandIn> {
+fn decode_hand_in(event_type: &str, fields: &Headers) -> Option<IncomingWebhook> {
     // An id goes into lines of other messages: without blanks or signs that would end it there.
     let id = |name| match fields.get(name) {
         Some(v) if !v.is_empty() && v.len() <= MOST_ID && v.bytes().all(|b| b.is_ascii_graphic()) => {
@@ -73,14 +75,14 @@
     };
     let mut extras = fields.get("X-Addressing")?.split([';', ',', ' ']);
     let dest = extras.find_map(|e| e.trim().strip_prefix("dest="))?.parse().ok()?;
-    Some(HandIn {
+    Some(IncomingWebhook {
         id: id("Req-Id")??,
         event_type: event_type.to_owned(),
         dest,
         order_key: id("Req-Key")?,
         customer: fields.get("Req-Owner").map(str::to_owned),
         token: id("Idempotency-Key")?,
-        left: decode_time(fields.get("Req-Deadline")?)?,
+        remaining_secs: decode_duration(fields.get("Req-Deadline")?)?,
     })
 }
 
@@ -90,11 +92,11 @@
     /// The sender serves.
     Ready,
     /// The webhook is taken on.
-    Taken,
+    Accepted,
     /// Handing in again does no harm, after so many seconds (0: nothing said).
     Rejected(f64),
     /// No room, or no longer taking anything: harmless as well.
-    NoRoom,
+    Unavailable,
     /// Another status, without more.
     Status(u16),
 }
@@ -148,7 +150,7 @@
 
 impl Default for Client {
     fn default() -> Self {
-        let decoder = Decoder::requests(MOST_BODY);
+        let decoder = Decoder::for_requests(MAX_BODY_BYTES);
         Client { decoder, stage: Stage::Idle, fresh: true, last: false, passed: 0, unacknowledged: None }
     }
 }
@@ -167,9 +169,9 @@
         if self.last {
             return if self.passed > LINGER_READS { Step::Close } else { Step::Read };
         }
-        match self.decoder.message() {
+        match self.decoder.next_message() {
             Ok(Some(request)) => Step::Serve(request),
-            Ok(None) if self.decoder.waits_for_leave() => Step::Leave,
+            Ok(None) if self.decoder.take_expect_continue() => Step::Leave,
             Ok(None) => Step::Read,
             Err(fault) => Step::Refuse(fault.status()),
         }
@@ -183,7 +185,7 @@
     /// A read found nothing: what is awaited now. Where the process is to end, a connection between requests ends
     /// instead, and nothing is told.
     pub fn quiet(&mut self, closing: bool) -> Option<Stage> {
-        let between = self.decoder.is_clear();
+        let between = self.decoder.is_between_messages();
         if !self.last && between && closing && !self.fresh {
             self.end();
             return None;
@@ -195,17 +197,17 @@
     /// The answer in hand is the last, or none was owed.
     pub fn end(&mut self) {
         self.last = true;
-        self.decoder = Decoder::requests(0);
+        self.decoder = Decoder::for_requests(0);
     }
 
     /// What the buffers take up.
     pub fn held(&self) -> usize {
-        self.decoder.held()
+        self.decoder.buffered_bytes()
     }
 }
 
 /// Where a request leads: to a webhook, or straight to an answer.
-pub fn route(asked: RequestHead, event_types: &BTreeSet<String>) -> Result<HandIn, Reply> {
+pub fn route(asked: RequestHead, event_types: &BTreeSet<String>) -> Result<IncomingWebhook, Reply> {
     match (asked.method, asked.path.as_str()) {
         (Method::Get, "ready") => Err(Reply::Ready),
         (_, "ready") => Err(Reply::Status(405)),
@@ -218,15 +220,15 @@
 /// Appends an answer; `close` says that it is the last.
 pub fn encode(out: &mut Vec<u8>, reply: Reply, close: bool) {
     match reply {
-        Reply::Ready => encode_answer(out, 200, &[], close),
-        Reply::Taken => encode_answer(out, 202, &[], close),
+        Reply::Ready => encode_empty_response(out, 200, &[], close),
+        Reply::Accepted => encode_empty_response(out, 202, &[], close),
         Reply::Rejected(after) if after > 0.0 => {
-            encode_answer(out, 429, &[("Retry-After", format!("{after:.3}"))], close);
+            encode_empty_response(out, 429, &[("Retry-After", format!("{after:.3}"))], close);
         }
-        Reply::Rejected(_) => encode_answer(out, 429, &[], close),
-        Reply::NoRoom => encode_answer(out, 503, &[], close),
-        Reply::Status(405) => encode_answer(out, 405, &[("Allow", "GET, POST".into())], close),
-        Reply::Status(status) => encode_answer(out, status, &[], close),
+        Reply::Rejected(_) => encode_empty_response(out, 429, &[], close),
+        Reply::Unavailable => encode_empty_response(out, 503, &[], close),
+        Reply::Status(405) => encode_empty_response(out, 405, &[("Allow", "GET, POST".into())], close),
+        Reply::Status(status) => encode_empty_response(out, status, &[], close),
     }
 }
 
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration that the platform hands a sender, checked, and handed on to the decision module.
 
-use crate::list::{self, News};
+use crate::list::{self, EndpointListUpdate};
 use scalebarrow::{RepeatSafety, Sender};
 use serde::{Deserialize, Deserializer, de::Error};
 use std::collections::BTreeSet;
@@ -23,7 +23,8 @@
     /// What it may use.
     pub limits: Limits,
     /// The list of endpoints as it was known last.
-    pub known: News,
+    #[serde(rename = "known")]
+    pub known_list: EndpointListUpdate,
     /// What the decision module is told.
     pub settings: Settings,
 }
@@ -32,7 +33,8 @@
 #[derive(Debug, Deserialize)]
 pub struct Limits {
     /// Descriptors.
-    pub sockets: usize,
+    #[serde(rename = "sockets")]
+    pub max_descriptors: usize,
     /// Megabytes that the folder may hold.
     pub disk_mb: f64,
     /// Megabytes of memory, where there is a limit.
@@ -167,7 +169,7 @@
 
 impl Limits {
     /// What the folder may hold, in bytes.
-    pub fn disk(&self) -> usize {
+    pub fn disk_bytes(&self) -> usize {
         (self.disk_mb * 1e6) as usize
     }
 }
@@ -192,7 +194,7 @@
     }
 
     /// Reads it again while it serves. Where it listens and what it is called cannot change then.
-    pub fn reread(&self, path: &Path) -> Result<Config, String> {
+    pub fn reload(&self, path: &Path) -> Result<Config, String> {
         let new = Self::read(path)?;
         let weights = new.settings.weights == self.settings.weights;
         for (field, same) in [
@@ -221,7 +223,7 @@
     fn check(&self) -> Result<(), (String, &'static str)> {
         let s = &self.settings;
         let at = |field: &str, ok: bool, why| if ok { Ok(()) } else { Err((field.to_owned(), why)) };
-        at("limits.sockets", self.limits.sockets >= 64, "must be 64 at least")?;
+        at("limits.sockets", self.limits.max_descriptors >= 64, "must be 64 at least")?;
         at("limits.disk_mb", self.limits.disk_mb >= 0.25, "must be 0.25 at least")?;
         at("limits.memory_mb", self.limits.memory_mb.is_none_or(|m| m >= 32.0), "must be 32 at least")?;
         at("settings.instances", s.instances > 0, "must be above zero")?;
@@ -265,14 +267,14 @@
     }
 
     /// The module with all its settings, at clock time `now`.
-    pub fn open(&self, now: f64) -> Sender {
+    pub fn create_sender(&self, now: f64) -> Sender {
         let mut sender = Sender::new(now, self.seed, self.settings.me, self.settings.instances);
-        self.tell(&mut sender);
+        self.apply_to(&mut sender);
         sender
     }
 
     /// Tells the module the settings, at the start or when they were read again.
-    pub fn tell(&self, sender: &mut Sender) {
+    pub fn apply_to(&self, sender: &mut Sender) {
         let s = &self.settings;
         let halves = s.family_info.decay.as_deref() == Some("by_half");
         for c in &s.classes {
@@ -311,7 +313,11 @@
             sender.set_max_retry_after(seconds(s.caps.max_retry_after_ms, 0.0));
         }
         sender.set_idle_timeout(seconds(s.caps.conn_idle_ms, UNBOUNDED));
-        sender.set_list_watch(self.asks(), seconds(s.rules.ask_within_ms, 10.0), list::LONGEST_PAUSE);
+        sender.set_list_watch(
+            self.pulls_list(),
+            seconds(s.rules.ask_within_ms, 10.0),
+            list::MAX_PULL_PAUSE_SECS,
+        );
         let (from, warm) = (s.rules.cold_from.unwrap_or(1.0), seconds(s.rules.cold_ms, 0.0));
         let multiple = s.rules.fall_multiple.unwrap_or(1e9);
         sender.set_cold_start(from, warm, multiple, seconds(s.rules.tip_after_ms, 1.0));
@@ -319,12 +325,12 @@
     }
 
     /// Calls out at once and webhooks held, at most, and the number of senders: for the log.
-    pub fn size(&self) -> (usize, usize, u64) {
+    pub fn capacity(&self) -> (usize, usize, u64) {
         (self.settings.family_info.slots, self.settings.caps.open_cap, self.settings.instances)
     }
 
     /// The list of endpoints comes only when it is asked for.
-    pub fn asks(&self) -> bool {
+    pub fn pulls_list(&self) -> bool {
         self.settings.membership_mode == Some(Membership::Ask)
     }
 
@@ -334,12 +340,12 @@
     }
 
     /// The list tells what destinations take; where it is not said what it tells, it does.
-    pub fn lists_rates(&self) -> bool {
+    pub fn list_has_rates(&self) -> bool {
         self.settings.weights != Some(Weights::None)
     }
 
     /// Answers of endpoints carry reports.
-    pub fn reports(&self) -> bool {
+    pub fn responses_carry_reports(&self) -> bool {
         self.settings.report.how == "answers"
     }
 
@@ -354,13 +360,13 @@
     }
 
     /// Webhooks in one call at most, for a kind of destination.
-    pub fn batch(&self, kind: &str) -> usize {
+    pub fn max_batch(&self, kind: &str) -> usize {
         let at = self.settings.models.iter().position(|m| m == kind);
         at.and_then(|i| self.settings.family_info.bundle_max.get(i)).map_or(1, |b| (*b).max(1))
     }
 
     /// How long an unused connection to an endpoint stays open, and how long one may take to come up.
-    pub fn connection_times(&self) -> (f64, f64) {
+    pub fn connection_timeouts_secs(&self) -> (f64, f64) {
         let caps = &self.settings.caps;
         // Without a setting, as long as common systems wait for an answer to the first packet.
         (seconds(caps.conn_idle_ms, UNBOUNDED), seconds(caps.connect_timeout_ms, 10.0))
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -16,7 +16,7 @@
 use crate::config::Config;
 use crate::endpoints::{Call, Pool};
 use crate::journal::Journal;
-use crate::list::List;
+use crate::list::ListClient;
 use budgets::{max_buffered, max_connections};
 use connection::Connection;
 use mio::net::{TcpListener, UnixStream};
@@ -68,7 +68,7 @@
     /// Calls that ended before they began; told in the next turn.
     failed: Vec<(Call, Outcome)>,
     discovery: SocketAddr,
-    list: List,
+    list: ListClient,
     list_connection: Option<usize>,
     list_wanted: bool,
     notice_connection: Option<usize>,
@@ -89,7 +89,7 @@
 /// Serves until SIGTERM.
 pub fn serve(config: Config, path: &Path, state: &Path) -> io::Result<()> {
     let mut reload_signals = signal_pipe(&[signal_hook::consts::SIGHUP])?;
-    let most = config.limits.disk();
+    let most = config.limits.disk_bytes();
     let named = |name: String| move |e: io::Error| io::Error::new(e.kind(), format!("{name}: {e}"));
     let (journal, dropped) =
         Journal::open(state, most, &BootReading::now()).map_err(named(state.display().to_string()))?;
@@ -102,11 +102,11 @@
         );
     }
     let (listen, discovery) = (config.listen, config.discovery);
-    let list = List::known(config.known.seq, config.asks());
+    let list = ListClient::new(config.known_list.version, config.pulls_list());
     let (max_clients, max_endpoints) = max_connections(&config.limits);
     let max_buffered = max_buffered(&config.limits);
-    let (name, (slots, holds, senders)) = (config.name.clone(), config.size());
-    let list_wanted = !config.asks();
+    let (name, (slots, holds, senders)) = (config.name.clone(), config.capacity());
+    let list_wanted = !config.pulls_list();
     let bridge = Bridge::open(config, journal, now);
     // Until here SIGTERM ends the process at once: it has taken nothing on. From here on it ends as planned.
     let mut shutdown_signals = signal_pipe(&[signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT])?;
--- a/crates/sender/src/driver/budgets.rs
+++ b/crates/sender/src/driver/budgets.rs
@@ -20,7 +20,7 @@
     let line = system.lines().find_map(|text| text.strip_prefix("Max open files"));
     let allowed = line.and_then(|text| text.split_whitespace().next()?.parse().ok()).unwrap_or(usize::MAX);
     // Two of each at least: with less nothing can be served.
-    let most = limits.sockets.min(allowed).saturating_sub(OWN_DESCRIPTORS).max(4);
+    let most = limits.max_descriptors.min(allowed).saturating_sub(OWN_DESCRIPTORS).max(4);
     (most - most / 2, most / 2)
 }
 
@@ -34,7 +34,7 @@
     pub(super) fn buffers_full(&self, of_clients: bool) -> bool {
         let held = |connection: &Connection| match &connection.peer {
             Peer::Client(client) if of_clients => client.held(),
-            Peer::Endpoint(endpoint) if !of_clients => endpoint.decoder.held(),
+            Peer::Endpoint(endpoint) if !of_clients => endpoint.decoder.buffered_bytes(),
             _ => 0,
         };
         self.connections.values().map(held).sum::<usize>() > self.max_buffered
--- a/crates/sender/src/driver/clients.rs
+++ b/crates/sender/src/driver/clients.rs
@@ -82,7 +82,7 @@
         let Some(id) = self.oldest_quiet(rank) else { return };
         let peer = self.connections.get(&id).map(|connection| &connection.peer);
         if matches!(peer, Some(Peer::Client(c)) if c.stage == Stage::Reading) {
-            self.refuse_client(id, Reply::NoRoom);
+            self.refuse_client(id, Reply::Unavailable);
             return self.client_ready(id);
         }
         self.end_client(id, Reason::NoRoom);
@@ -130,12 +130,12 @@
                     let (reply, number) = match routed {
                         // It did not wait for the answer: what it handed in is not taken on.
                         Ok(_) if !self.accepts_webhooks || has_ended(&connection.stream) => {
-                            (Reply::NoRoom, None)
+                            (Reply::Unavailable, None)
                         }
                         Ok(hand_in) => self.bridge.hand_in(self.now, hand_in, request.body),
                         Err(reply) => (reply, None),
                     };
-                    let last = !request.keep || self.closing.is_some();
+                    let last = !request.keep_alive || self.closing.is_some();
                     (client.fresh, client.unacknowledged, client.stage) = (false, number, Stage::Writing);
                     if last {
                         client.end();
@@ -156,7 +156,7 @@
                         let Peer::Client(client) = &mut connection.peer else { return };
                         client.bytes(&self.read_buffer[..count]);
                         if client.held() > SMALL_BUFFER && self.buffers_full(true) {
-                            self.refuse_client(id, Reply::NoRoom);
+                            self.refuse_client(id, Reply::Unavailable);
                         }
                     }
                     ReadResult::Nothing => {
--- a/crates/sender/src/driver/endpoints.rs
+++ b/crates/sender/src/driver/endpoints.rs
@@ -41,7 +41,7 @@
         let Some(dial) = self.bridge.dial(&call.ep) else {
             return self.failed.push((call, Outcome::ConnectFailed));
         };
-        let (_, connects_in) = self.bridge.config().connection_times();
+        let (_, connects_in) = self.bridge.config().connection_timeouts_secs();
         let by = call.stop_at.min(self.now + connects_in);
         debug!(code = "connecting", ep = call.ep, "a connection is opened");
         match self.connect(dial, Peer::Endpoint(EndpointConnection::new(call.ep.clone()))) {
@@ -98,7 +98,7 @@
             return self.close(id, Reason::Idle);
         }
         self.pool.put(&ep, id);
-        let (idle, _) = self.bridge.config().connection_times();
+        let (idle, _) = self.bridge.config().connection_timeouts_secs();
         self.set_deadline(id, self.now + (idle - ENDPOINT_IDLE_MARGIN).max(idle / 2.0));
     }
 
@@ -143,8 +143,11 @@
                     };
                     endpoint.decoder.feed(&self.read_buffer[..count]);
                     // Looked at piece by piece: of an answer without end no more is kept than of a good one.
-                    found = found.or_else(|| endpoint.decoder.message().transpose());
-                    let (big, clear) = (endpoint.decoder.held() > SMALL_BUFFER, endpoint.decoder.is_clear());
+                    found = found.or_else(|| endpoint.decoder.next_message().transpose());
+                    let (big, clear) = (
+                        endpoint.decoder.buffered_bytes() > SMALL_BUFFER,
+                        endpoint.decoder.is_between_messages(),
+                    );
                     if found.is_none() && big && self.buffers_full(false) {
                         found = Some(Err(DecodeError::BodyTooBig));
                     }
@@ -168,7 +171,10 @@
         match found {
             Some(Ok(answer)) => {
                 let Some(call) = endpoint.call.take() else { return self.close(id, Reason::Unasked) };
-                let stays = end.is_none() && answer.keep && call.written && endpoint.decoder.is_clear();
+                let stays = end.is_none()
+                    && answer.keep_alive
+                    && call.written
+                    && endpoint.decoder.is_between_messages();
                 let ids: Vec<&str> = call.webhooks.iter().map(|w| w.id.as_str()).collect();
                 let endings = endpoints::endings(&answer, &ids);
                 let garbage = endings.is_none();
@@ -184,9 +190,9 @@
                 let by = connection.deadline.min(self.now + ANSWER_TIMEOUT);
                 if let Some(reason) = end {
                     self.abort_call(id, Outcome::Reset, reason);
-                } else if endpoint.call.is_none() && !endpoint.decoder.is_clear() {
+                } else if endpoint.call.is_none() && !endpoint.decoder.is_between_messages() {
                     self.close(id, Reason::Unasked);
-                } else if !endpoint.decoder.is_clear() {
+                } else if !endpoint.decoder.is_between_messages() {
                     self.set_deadline(id, by);
                 }
             }
--- a/crates/sender/src/driver/list.rs
+++ b/crates/sender/src/driver/list.rs
@@ -57,7 +57,7 @@
                     }
                 }
                 Err(ListError::Refused) => return self.list_failed(Reason::Refused),
-                Err(ListError::Garbage) => return self.list_failed(Reason::BadMessage),
+                Err(ListError::InvalidResponse) => return self.list_failed(Reason::BadMessage),
             }
         }
         self.ready_again.insert(id);
@@ -74,7 +74,7 @@
             return self.open_list();
         }
         self.list_wanted = false;
-        if self.bridge.config().asks() {
+        if self.bridge.config().pulls_list() {
             self.bridge.no_list(self.now);
         } else {
             self.set_timer(self.now + LIST_RETRY_PAUSE, Timer::List);
--- a/crates/sender/src/driver/signals.rs
+++ b/crates/sender/src/driver/signals.rs
@@ -58,7 +58,7 @@
             match self.connections.get(&id).map(|connection| &connection.peer) {
                 Some(Peer::Client(c)) if c.stage == Stage::Idle => self.end_client(id, Reason::Closing),
                 Some(Peer::Client(c)) if c.stage == Stage::Reading => {
-                    self.refuse_client(id, Reply::NoRoom);
+                    self.refuse_client(id, Reply::Unavailable);
                     self.client_ready(id);
                 }
                 _ => {}
@@ -84,7 +84,7 @@
     /// The configuration's file is read again. A faulty one changes nothing.
     pub(super) fn reload_config(&mut self) {
         while matches!(self.reload_signals.read(&mut [0; 64]), Ok(count) if count > 0) {}
-        let config = match self.bridge.config().reread(&self.path) {
+        let config = match self.bridge.config().reload(&self.path) {
             Ok(config) => config,
             Err(why) => return warn!(code = "config-kept", why, "the configuration stays as it was"),
         };
--- a/crates/sender/src/driver/timers.rs
+++ b/crates/sender/src/driver/timers.rs
@@ -99,7 +99,7 @@
                 Stage::Writing | Stage::Lingering => self.close(id, Reason::Silent),
             },
             Peer::Endpoint(endpoint) if endpoint.call.is_some() => {
-                match (connection.up, endpoint.decoder.is_clear()) {
+                match (connection.up, endpoint.decoder.is_between_messages()) {
                     (true, true) => self.abort_call(id, Outcome::TimedOut, Reason::Silent),
                     (true, false) => self.abort_call(id, Outcome::Reset, Reason::BadMessage),
                     _ => self.abort_call(id, Outcome::TimedOut, Reason::NotUp),
--- a/crates/sender/src/endpoints.rs
+++ b/crates/sender/src/endpoints.rs
@@ -1,12 +1,12 @@
 //! Calls to the destinations' endpoints: how they are written, and what their answers mean.
 
-use crate::http::{Decoder, Fields, Head, MOST_BODY, Message, Start, decode_number};
+use crate::http::{Decoder, Headers, MAX_BODY_BYTES, Message, MessageHead, StartLine, decode_number};
 use crate::journal::AttemptNumber;
 use scalebarrow::Outcome;
 use std::collections::BTreeMap;
 
 /// An answer's body means little: a line for each webhook of a call at most.
-const MOST_ANSWER: usize = MOST_BODY;
+const MOST_ANSWER: usize = MAX_BODY_BYTES;
 
 /// A webhook as a call carries it.
 pub struct Load<'a> {
@@ -37,7 +37,7 @@
         body.extend_from_slice(b"\r\n");
     }
     let head = format!("POST /inbox/bulk {common}Content-Length: {}\r\n\r\n", body.len());
-    (body.len() <= MOST_BODY).then(|| [head.as_bytes(), &body].concat())
+    (body.len() <= MAX_BODY_BYTES).then(|| [head.as_bytes(), &body].concat())
 }
 
 /// The head of an answer.
@@ -52,9 +52,9 @@
     pub report: Option<(f64, f64)>,
 }
 
-impl Head for Answer {
-    fn decode(start: &Start, fields: &Fields) -> Self {
-        let status = if let Start::Answer { status } = start { *status } else { 0 };
+impl MessageHead for Answer {
+    fn decode(start: &StartLine, fields: &Headers) -> Self {
+        let status = if let StartLine::Response { status } = start { *status } else { 0 };
         let wait = fields.get("Retry-After").and_then(decode_number).unwrap_or(0.0);
         let no_slot = fields.get("X-Over-Slots") == Some("1");
         let load = fields.get("Srv-Load").and_then(|l| l.strip_prefix("TEXT"));
@@ -175,20 +175,20 @@
 impl EndpointConnection {
     /// A connection that carries nothing yet.
     pub fn new(name: String) -> Self {
-        EndpointConnection { name, call: None, decoder: Decoder::answers(MOST_ANSWER) }
+        EndpointConnection { name, call: None, decoder: Decoder::for_responses(MOST_ANSWER) }
     }
 
     /// How the call ended when the connection broke, or the sender stopped waiting (`otherwise`).
     pub fn cut_short(&mut self, call: &Call, otherwise: Outcome) -> (Vec<Ending>, Answer) {
         let count = call.webhooks.len();
-        if let Some(answer) = self.decoder.ended() {
+        if let Some(answer) = self.decoder.end_of_stream() {
             let ids: Vec<&str> = call.webhooks.iter().map(|w| w.id.as_str()).collect();
             let garbage = || vec![Outcome::Reset.into(); count];
             return (endings(&answer, &ids).unwrap_or_else(garbage), answer.head);
         }
         // Of a spoilt answer only a first line with 200 is true, where one webhook went alone. Any other, also one that
         // seems to say that nothing has run, stands for a call that may have run once it was written.
-        let status = self.decoder.head().map(|h| h.status).or_else(|| self.decoder.first_line());
+        let status = self.decoder.pending_head().map(|h| h.status).or_else(|| self.decoder.pending_status());
         let outcome = match status {
             Some(200) if count == 1 => Outcome::Delivered,
             _ if call.written => otherwise,
--- a/crates/sender/src/endpoints/tests.rs
+++ b/crates/sender/src/endpoints/tests.rs
@@ -2,9 +2,9 @@
 use crate::http::DecodeError;
 
 fn answer(bytes: &str) -> Result<Option<Message<Answer>>, DecodeError> {
-    let mut decoder = Decoder::answers(MOST_ANSWER);
+    let mut decoder = Decoder::for_responses(MOST_ANSWER);
     decoder.feed(bytes.as_bytes());
-    decoder.message()
+    decoder.next_message()
 }
 
 #[test]
@@ -97,7 +97,7 @@
         };
         let mut connection = EndpointConnection::new(ep);
         connection.decoder.feed(came.as_bytes());
-        let _ = connection.decoder.message();
+        let _ = connection.decoder.next_message();
         let (found, _) = connection.cut_short(&call, Outcome::Reset);
         assert_eq!(found, vec![Ending::from(wanted); count], "{came:?} {written}");
     }
--- a/crates/sender/src/http.rs
+++ b/crates/sender/src/http.rs
@@ -4,9 +4,9 @@
 use httparse::{EMPTY_HEADER, Error, Header, parse_chunk_size};
 
 /// The protocol's limit for the body of a webhook or call.
-pub const MOST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Start line and header lines of one message; common servers allow 8 to 16 KiB.
-pub const MOST_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Header lines of one message; common servers allow about a hundred.
 const MOST_LINES: usize = 96;
 /// A chunk's size with its extensions.
@@ -38,17 +38,17 @@
 }
 
 /// The first line of a message.
-pub enum Start<'a> {
+pub enum StartLine<'a> {
     /// Of a request: its method and its target.
     Request { method: &'a str, target: &'a str },
     /// Of an answer: its status.
-    Answer { status: u16 },
+    Response { status: u16 },
 }
 
 /// The header lines of a message.
-pub struct Fields<'a>(&'a [Header<'a>]);
+pub struct Headers<'a>(&'a [Header<'a>]);
 
-impl<'a> Fields<'a> {
+impl<'a> Headers<'a> {
     fn all(&self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.0.iter().filter(move |h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value.trim_ascii())
     }
@@ -65,17 +65,17 @@
 }
 
 /// What a peer's module makes of a head: a small typed value, decoded once.
-pub trait Head: Sized {
+pub trait MessageHead: Sized {
     /// Decodes the first line and the header lines.
-    fn decode(start: &Start, fields: &Fields) -> Self;
+    fn decode(start: &StartLine, fields: &Headers) -> Self;
 }
 
 /// The head of an answer of which only the status counts.
-pub struct Status(pub u16);
+pub struct StatusHead(pub u16);
 
-impl Head for Status {
-    fn decode(start: &Start, _: &Fields) -> Self {
-        Status(if let Start::Answer { status } = start { *status } else { 0 })
+impl MessageHead for StatusHead {
+    fn decode(start: &StartLine, _: &Headers) -> Self {
+        StatusHead(if let StartLine::Response { status } = start { *status } else { 0 })
     }
 }
 
@@ -87,7 +87,7 @@
     /// Its body, without the framing.
     pub body: Vec<u8>,
     /// The connection serves further messages.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -115,17 +115,17 @@
     waits: bool,
 }
 
-impl<H: Head> Decoder<H> {
+impl<H: MessageHead> Decoder<H> {
     /// For requests, with bodies of at most so many bytes.
-    pub fn requests(most_body: usize) -> Self {
+    pub fn for_requests(most_body: usize) -> Self {
         let (buf, body) = (Vec::new(), Vec::new());
         let framing = Framing::Head;
         Decoder { answers: false, most_body, buf, seen: 0, framing, head: None, body, waits: false }
     }
 
     /// For answers, with bodies of at most so many bytes.
-    pub fn answers(most_body: usize) -> Self {
-        Decoder { answers: true, ..Self::requests(most_body) }
+    pub fn for_responses(most_body: usize) -> Self {
+        Decoder { answers: true, ..Self::for_requests(most_body) }
     }
 
     /// Takes in bytes as they were read.
@@ -134,22 +134,22 @@
     }
 
     /// What the buffers take up.
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buf.capacity() + self.body.capacity()
     }
 
     /// No byte of a further message has come.
-    pub fn is_clear(&self) -> bool {
+    pub fn is_between_messages(&self) -> bool {
         self.buf.is_empty() && self.head.is_none()
     }
 
     /// The head of a message whose body is still coming.
-    pub fn head(&self) -> Option<&H> {
+    pub fn pending_head(&self) -> Option<&H> {
         self.head.as_ref().map(|h| &h.0)
     }
 
     /// The status of an answer of which the first line at least has come.
-    pub fn first_line(&self) -> Option<u16> {
+    pub fn pending_status(&self) -> Option<u16> {
         let mut lines = [EMPTY_HEADER; MOST_LINES];
         let mut answer = httparse::Response::new(&mut lines);
         let _ = answer.parse(&self.buf);
@@ -157,12 +157,12 @@
     }
 
     /// The peer waits for leave to send the body; true once a message.
-    pub fn waits_for_leave(&mut self) -> bool {
+    pub fn take_expect_continue(&mut self) -> bool {
         std::mem::take(&mut self.waits) && self.body.is_empty()
     }
 
     /// The next message, if all of it has come.
-    pub fn message(&mut self) -> Result<Option<Message<H>>, DecodeError> {
+    pub fn next_message(&mut self) -> Result<Option<Message<H>>, DecodeError> {
         loop {
             match self.framing {
                 Framing::Head => {
@@ -206,7 +206,7 @@
                 }
                 Framing::Trailer => {
                     let Some(end) = self.buf.iter().position(|b| *b == b'\n') else {
-                        let most = self.buf.len() > MOST_HEAD;
+                        let most = self.buf.len() > MAX_HEAD_BYTES;
                         return if most { Err(DecodeError::HeadTooBig) } else { Ok(None) };
                     };
                     let line: Vec<u8> = self.buf.drain(..=end).collect();
@@ -226,7 +226,7 @@
     }
 
     /// The peer has ended its sending: a body that runs until then is whole.
-    pub fn ended(&mut self) -> Option<Message<H>> {
+    pub fn end_of_stream(&mut self) -> Option<Message<H>> {
         if self.framing == Framing::UntilClose { self.finish() } else { None }
     }
 
@@ -237,14 +237,14 @@
     }
 
     fn finish(&mut self) -> Option<Message<H>> {
-        let (head, keep) = self.head.take()?;
+        let (head, keep_alive) = self.head.take()?;
         self.framing = Framing::Head;
         (self.seen, self.waits) = (0, false);
         if self.buf.is_empty() {
             // Of a connection that waits, nothing is kept.
             self.buf = Vec::new();
         }
-        Some(Message { head, body: std::mem::take(&mut self.body), keep })
+        Some(Message { head, body: std::mem::take(&mut self.body), keep_alive })
     }
 
     /// True when the head is there and its framing is known.
@@ -252,25 +252,25 @@
         // A head is looked at again only when a line has ended: bytewise feeding must not cost its square.
         if self.buf.is_empty() || (self.seen > 0 && !self.buf[self.seen..].contains(&b'\n')) {
             self.seen = self.buf.len();
-            return if self.seen > MOST_HEAD { Err(DecodeError::HeadTooBig) } else { Ok(false) };
+            return if self.seen > MAX_HEAD_BYTES { Err(DecodeError::HeadTooBig) } else { Ok(false) };
         }
         let mut lines = [EMPTY_HEADER; MOST_LINES];
         let (status, version, start, fields);
         if self.answers {
             let mut answer = httparse::Response::new(&mut lines);
             status = answer.parse(&self.buf);
-            (version, start) = (answer.version, Start::Answer { status: answer.code.unwrap_or(0) });
-            fields = Fields(answer.headers);
+            (version, start) = (answer.version, StartLine::Response { status: answer.code.unwrap_or(0) });
+            fields = Headers(answer.headers);
         } else {
             let mut request = httparse::Request::new(&mut lines);
             status = request.parse(&self.buf);
             let (method, target) = (request.method.unwrap_or(""), request.path.unwrap_or(""));
-            (version, start) = (request.version, Start::Request { method, target });
-            fields = Fields(request.headers);
+            (version, start) = (request.version, StartLine::Request { method, target });
+            fields = Headers(request.headers);
         }
         let size = match status {
-            Ok(Complete(size)) if size <= MOST_HEAD => size,
-            Ok(Partial) if self.buf.len() <= MOST_HEAD => {
+            Ok(Complete(size)) if size <= MAX_HEAD_BYTES => size,
+            Ok(Partial) if self.buf.len() <= MAX_HEAD_BYTES => {
                 self.seen = self.buf.len();
                 return Ok(false);
             }
@@ -279,16 +279,16 @@
         };
         let framing = framing(&start, &fields, self.most_body)?;
         let modern = version == Some(1);
-        let keep = if modern {
+        let keep_alive = if modern {
             !fields.lists("Connection", "close")
         } else {
             fields.lists("Connection", "keep-alive")
         };
         self.waits = modern && !self.answers && fields.lists("Expect", "100-continue");
         // An interim answer: the real one follows.
-        let interim = matches!(start, Start::Answer { status: 100..200 });
+        let interim = matches!(start, StartLine::Response { status: 100..200 });
         if !interim {
-            self.head = Some((H::decode(&start, &fields), keep && framing != Framing::UntilClose));
+            self.head = Some((H::decode(&start, &fields), keep_alive && framing != Framing::UntilClose));
             self.framing = framing;
         }
         self.buf.drain(..size);
@@ -298,7 +298,7 @@
 }
 
 /// How the body is delimited (RFC 9112, 6.3).
-fn framing(start: &Start, fields: &Fields, most_body: usize) -> Result<Framing, DecodeError> {
+fn framing(start: &StartLine, fields: &Headers, most_body: usize) -> Result<Framing, DecodeError> {
     let mut lengths = fields.all("Content-Length");
     let length = lengths.next();
     let coded = fields.all("Transfer-Encoding").next();
@@ -306,7 +306,7 @@
     if lengths.next().is_some() || (length.is_some() && coded.is_some()) {
         return Err(DecodeError::Malformed);
     }
-    if matches!(start, Start::Answer { status: 100..200 | 204 | 304 }) {
+    if matches!(start, StartLine::Response { status: 100..200 | 204 | 304 }) {
         return Ok(Framing::Length(0));
     }
     if let Some(coding) = coded {
@@ -314,7 +314,7 @@
         return if plain { Ok(Framing::ChunkSize) } else { Err(DecodeError::UnknownCoding) };
     }
     let Some(length) = length else {
-        let answer = matches!(start, Start::Answer { .. });
+        let answer = matches!(start, StartLine::Response { .. });
         return Ok(if answer { Framing::UntilClose } else { Framing::Length(0) });
     };
     if length.is_empty() || !length.iter().all(u8::is_ascii_digit) {
@@ -326,7 +326,7 @@
 }
 
 /// Appends an answer without a body.
-pub fn encode_answer(out: &mut Vec<u8>, status: u16, fields: &[(&str, String)], close: bool) {
+pub fn encode_empty_response(out: &mut Vec<u8>, status: u16, fields: &[(&str, String)], close: bool) {
     let reason = match status {
         200 => "OK",
         202 => "Accepted",
@@ -349,7 +349,7 @@
 }
 
 /// A time as the protocol writes it: a number and a unit, milliseconds or microseconds.
-pub fn decode_time(text: &str) -> Option<f64> {
+pub fn decode_duration(text: &str) -> Option<f64> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let per_second = match unit {
         "m" => 1e3,
--- a/crates/sender/src/http/tests.rs
+++ b/crates/sender/src/http/tests.rs
@@ -4,11 +4,11 @@
 #[derive(Debug)]
 struct Seen(String);
 
-impl Head for Seen {
-    fn decode(start: &Start, fields: &Fields) -> Self {
+impl MessageHead for Seen {
+    fn decode(start: &StartLine, fields: &Headers) -> Self {
         let line = match start {
-            Start::Request { method, target } => format!("{method} {target}"),
-            Start::Answer { status } => status.to_string(),
+            StartLine::Request { method, target } => format!("{method} {target}"),
+            StartLine::Response { status } => status.to_string(),
         };
         Seen(format!("{line} {}", fields.get("x-a").unwrap_or("-")))
     }
@@ -16,16 +16,23 @@
 
 /// All that comes out of `bytes`, fed in pieces of `step`.
 fn read(answers: bool, bytes: &[u8], step: usize) -> Vec<String> {
-    let mut decoder =
-        if answers { Decoder::<Seen>::answers(MOST_BODY) } else { Decoder::requests(MOST_BODY) };
+    let mut decoder = if answers {
+        Decoder::<Seen>::for_responses(MAX_BODY_BYTES)
+    } else {
+        Decoder::for_requests(MAX_BODY_BYTES)
+    };
     let mut out = Vec::new();
     for piece in bytes.chunks(step) {
         decoder.feed(piece);
         loop {
-            match decoder.message() {
+            match decoder.next_message() {
                 Ok(Some(m)) => {
                     let body = String::from_utf8_lossy(&m.body).into_owned();
-                    out.push(format!("{} [{body}] {}", m.head.0, if m.keep { "keep" } else { "close" }));
+                    out.push(format!(
+                        "{} [{body}] {}",
+                        m.head.0,
+                        if m.keep_alive { "keep" } else { "close" }
+                    ));
                 }
                 Ok(None) => break,
                 Err(fault) => {
@@ -35,7 +42,7 @@
             }
         }
     }
-    out.extend(decoder.ended().map(|m| format!("{} [{}] ended", m.head.0, m.body.len())));
+    out.extend(decoder.end_of_stream().map(|m| format!("{} [{}] ended", m.head.0, m.body.len())));
     out
 }
 
@@ -68,7 +75,7 @@
         (false, format!("{get}Content-Length: 1, 1\r\n\r\n"), &["Malformed"]),
         (false, format!("{get}Content-Length: 65537\r\n\r\n"), &["BodyTooBig"]),
         (false, "\u{1}\u{2}\r\n\r\n".into(), &["Malformed"]),
-        (false, format!("{get}X-A: {}\r\n\r\n", "b".repeat(MOST_HEAD)), &["HeadTooBig"]),
+        (false, format!("{get}X-A: {}\r\n\r\n", "b".repeat(MAX_HEAD_BYTES)), &["HeadTooBig"]),
         (true, format!("{ok}Content-Length: 2\r\n\r\nhi"), &["200 - [hi] keep"]),
         (true, format!("{ok}\r\nhi"), &["200 - [2] ended"]),
         (
@@ -88,13 +95,13 @@
         (true, "\u{7f}\u{3}x".into(), &["Malformed"]),
         (true, format!("{ok}\u{1}: 2\r\n\r\n"), &["Malformed"]),
         (true, format!("{ok}X-A\r\n\r\n"), &["Malformed"]),
-        (true, format!("{ok}{}", "X-A: b\r\n".repeat(MOST_HEAD / 8 + 1)), &["HeadTooBig"]),
-        (true, format!("{ok}X-A: {}", "b".repeat(MOST_HEAD)), &["HeadTooBig"]),
+        (true, format!("{ok}{}", "X-A: b\r\n".repeat(MAX_HEAD_BYTES / 8 + 1)), &["HeadTooBig"]),
+        (true, format!("{ok}X-A: {}", "b".repeat(MAX_HEAD_BYTES)), &["HeadTooBig"]),
         (true, format!("{ok}Content-Length: 1\r\n\r\nhi"), &["200 - [h] keep", "Malformed"]),
         (true, format!("{ok}Content-Length: -2\r\n\r\nhi"), &["Malformed"]),
         (true, format!("{ok}Content-Length: 2\r\nContent-Length: 3\r\n\r\nhi"), &["Malformed"]),
         (true, format!("{ok}Content-Length: 3221225472\r\n\r\nhi"), &["BodyTooBig"]),
-        (true, format!("{ok}\r\n{}", "x".repeat(MOST_BODY + 1)), &["BodyTooBig"]),
+        (true, format!("{ok}\r\n{}", "x".repeat(MAX_BODY_BYTES + 1)), &["BodyTooBig"]),
         (true, format!("{ok}Transfer-Encoding: chunked\r\n\r\nC0000000\r\nhi"), &["BodyTooBig"]),
         // Good, with more than belongs to them.
         (true, format!("{ok}Content-Length: 0\r\n\r\n").repeat(2), &["200 - [] keep", "200 - [] keep"]),
@@ -123,9 +130,9 @@
         ("HTTP/1.1 503 No\r\nRetry-Af", Some(503)),
         ("garbage", None),
     ] {
-        let mut decoder = Decoder::<Seen>::answers(MOST_BODY);
+        let mut decoder = Decoder::<Seen>::for_responses(MAX_BODY_BYTES);
         decoder.feed(bytes.as_bytes());
-        assert_eq!(decoder.first_line(), status, "{bytes:?}");
+        assert_eq!(decoder.pending_status(), status, "{bytes:?}");
     }
 }
 
@@ -146,6 +153,6 @@
         ("9999999999999999m", None),
         ("5é", None),
     ] {
-        assert_eq!(decode_time(text), time, "{text}");
+        assert_eq!(decode_duration(text), time, "{text}");
     }
 }
--- a/crates/sender/src/list.rs
+++ b/crates/sender/src/list.rs
@@ -1,12 +1,12 @@
 //! The platform's list of endpoints: how it is asked for, and what it says.
 
-use crate::http::{Decoder, Status};
+use crate::http::{Decoder, StatusHead};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
 /// After a call that failed, was refused or was given up, a change counts as told so long after discovery had it and
 /// could be reached.
-pub const CLOCK: f64 = 6.0;
+pub const CHANGE_DEADLINE_SECS: f64 = 6.0;
 /// How long a watch may be held that has nothing to tell. Where lists are pushed, the agent beside the sender answers at
 /// no cost, and what it has counts as told whether or not a watch stands: one that has fallen silent is found soon. Where
 /// they are asked for, each call costs the platform, and what a silent one misses counts 2 s after its wait is over: a
@@ -30,7 +30,8 @@
 
 /// The longest pause between two calls where lists are asked for. At worst discovery can be reached again just after a
 /// call went out: that one is given up, the pause passes, and the next one is answered as late as may be.
-pub const LONGEST_PAUSE: f64 = CLOCK - ON_THE_WAY - 2.0 * (AGAIN_MS as f64 / 1e3 + AGAIN_PATIENCE);
+pub const MAX_PULL_PAUSE_SECS: f64 =
+    CHANGE_DEADLINE_SECS - ON_THE_WAY - 2.0 * (AGAIN_MS as f64 / 1e3 + AGAIN_PATIENCE);
 
 /// Whether an endpoint takes calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
@@ -46,37 +47,44 @@
 
 /// One line of the list.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Host {
+pub struct EndpointEntry {
     /// The endpoint's name.
-    pub host: String,
+    #[serde(rename = "host")]
+    pub name: String,
     /// Its address.
-    pub dial: SocketAddr,
+    #[serde(rename = "dial")]
+    pub address: SocketAddr,
     /// Its zone.
-    pub site: String,
+    #[serde(rename = "site")]
+    pub zone: String,
     /// The kind of its destination.
     #[serde(rename = "class")]
-    pub kind: String,
+    pub destination_kind: String,
     /// An endpoint of no destination gets no calls.
     #[serde(rename = "block")]
-    pub dest: Option<u64>,
+    pub destination: Option<u64>,
     /// Whether it takes calls.
     pub health: Health,
     /// Calls a second that its destination takes, where that is listed.
     #[serde(rename = "share")]
-    pub rate: Option<f64>,
+    pub rate_limit: Option<f64>,
     /// When it last started, in Unix time.
-    pub born_ms: Option<f64>,
+    #[serde(rename = "born_ms")]
+    pub started_unix_ms: Option<f64>,
 }
 
 /// A list, or what changed in it.
 #[derive(Debug, Clone, Deserialize)]
-pub struct News {
+pub struct EndpointListUpdate {
     /// The version.
-    pub seq: u64,
+    #[serde(rename = "seq")]
+    pub version: u64,
     /// All endpoints are named; else those that changed.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub is_complete: bool,
     /// The endpoints.
-    pub hosts: Vec<Host>,
+    #[serde(rename = "hosts")]
+    pub endpoints: Vec<EndpointEntry>,
 }
 
 /// Why a call for the list brought none.
@@ -85,12 +93,12 @@
     /// The platform has too much to do: nothing is wrong with what is known.
     Refused,
     /// What came cannot be read, or does not follow on what is known.
-    Garbage,
+    InvalidResponse,
 }
 
 /// Which call is due or out: watches from the version that is known, the whole list where none is.
-pub struct List {
-    decoder: Decoder<Status>,
+pub struct ListClient {
+    decoder: Decoder<StatusHead>,
     seq: Option<u64>,
     /// Calls that brought no list since the last that did. A watch whose connection ended goes on over another one, once.
     failed: u32,
@@ -100,11 +108,17 @@
     asked: bool,
 }
 
-impl List {
+impl ListClient {
     /// The list is known in this version. To ask for changes alone costs the platform little; whole lists for all
     /// senders that start together keep it busy for so long that all of them are refused.
-    pub fn known(seq: u64, asked: bool) -> Self {
-        List { decoder: Decoder::answers(MOST_LIST), seq: Some(seq), failed: 0, fell_silent: false, asked }
+    pub fn new(seq: u64, asked: bool) -> Self {
+        ListClient {
+            decoder: Decoder::for_responses(MOST_LIST),
+            seq: Some(seq),
+            failed: 0,
+            fell_silent: false,
+            asked,
+        }
     }
 
     /// From which version changes are asked for; none where the whole list is.
@@ -128,40 +142,42 @@
     }
 
     /// What an answer tells, and whether the connection serves further calls.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<(News, bool)>, ListError> {
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<(EndpointListUpdate, bool)>, ListError> {
         self.decoder.feed(bytes);
-        let message = self.decoder.message().map_err(|_| ListError::Garbage)?;
+        let message = self.decoder.next_message().map_err(|_| ListError::InvalidResponse)?;
         let Some(answer) = message else { return Ok(None) };
         match answer.head.0 {
             200 => {}
             429 | 503 => return Err(ListError::Refused),
-            _ => return Err(ListError::Garbage),
+            _ => return Err(ListError::InvalidResponse),
         }
-        let news: News = serde_json::from_slice(&answer.body).map_err(|_| ListError::Garbage)?;
+        let news: EndpointListUpdate =
+            serde_json::from_slice(&answer.body).map_err(|_| ListError::InvalidResponse)?;
         // Against a platform that counts anew, as after a loss of its own: changes would pass by unseen.
-        if !news.whole && self.seq.is_some_and(|known| news.seq < known) {
-            return Err(ListError::Garbage);
+        if !news.is_complete && self.seq.is_some_and(|known| news.version < known) {
+            return Err(ListError::InvalidResponse);
         }
-        (self.seq, self.failed) = (Some(news.seq), 0);
-        Ok(Some((news, answer.keep && self.decoder.is_clear())))
+        (self.seq, self.failed) = (Some(news.version), 0);
+        Ok(Some((news, answer.keep_alive && self.decoder.is_between_messages())))
     }
 
     /// The platform is reached at another address: the whole list is asked for there.
     pub fn moved(&mut self) {
-        (self.decoder, self.seq, self.failed) = (Decoder::answers(MOST_LIST), None, 0);
+        (self.decoder, self.seq, self.failed) = (Decoder::for_responses(MOST_LIST), None, 0);
     }
 
     /// The platform refused, and the connection is gone. What is known stays known: the next call asks for what
     /// changed since, and not before it is due. At once, and for the whole list, would keep the platform busy.
     pub fn refused(&mut self) {
-        (self.decoder, self.failed, self.fell_silent) = (Decoder::answers(MOST_LIST), self.failed + 1, false);
+        (self.decoder, self.failed, self.fell_silent) =
+            (Decoder::for_responses(MOST_LIST), self.failed + 1, false);
     }
 
     /// The connection is gone. True where the watch goes on over a new one at once.
     pub fn broken(&mut self) -> bool {
         let goes_on = self.seq.is_some() && self.failed == 0;
         self.fell_silent = goes_on;
-        (self.decoder, self.failed) = (Decoder::answers(MOST_LIST), self.failed + 1);
+        (self.decoder, self.failed) = (Decoder::for_responses(MOST_LIST), self.failed + 1);
         if !goes_on {
             // Where nothing is known of what the platform counts as told, the whole list is asked for.
             self.seq = None;
--- a/crates/sender/src/notices.rs
+++ b/crates/sender/src/notices.rs
@@ -1,6 +1,6 @@
 //! Notices to the platform: final answers of webhooks that were taken on and not delivered.
 
-use crate::http::{DecodeError, Decoder, Status};
+use crate::http::{DecodeError, Decoder, StatusHead};
 use crate::journal::End;
 use serde::Serialize;
 use std::collections::VecDeque;
@@ -26,7 +26,7 @@
 
 /// What is due, in order, and what is out. A notice is repeated until it is acknowledged.
 pub struct Notices {
-    decoder: Decoder<Status>,
+    decoder: Decoder<StatusHead>,
     due: VecDeque<u64>,
     out: Vec<u64>,
     /// A line that the platform cannot read must not hold up others: then they go one by one.
@@ -35,7 +35,7 @@
 
 impl Default for Notices {
     fn default() -> Self {
-        let decoder = Decoder::answers(MOST_ANSWER);
+        let decoder = Decoder::for_responses(MOST_ANSWER);
         Notices { decoder, due: VecDeque::new(), out: Vec::new(), singly: false }
     }
 }
@@ -99,17 +99,17 @@
     /// The webhooks whose notice was acknowledged, and whether the connection serves further calls.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<(Vec<u64>, bool)>, DecodeError> {
         self.decoder.feed(bytes);
-        let Some(answer) = self.decoder.message()? else { return Ok(None) };
+        let Some(answer) = self.decoder.next_message()? else { return Ok(None) };
         self.singly = answer.head.0 != 204;
         if self.singly {
             return Err(DecodeError::Malformed);
         }
-        Ok(Some((std::mem::take(&mut self.out), answer.keep && self.decoder.is_clear())))
+        Ok(Some((std::mem::take(&mut self.out), answer.keep_alive && self.decoder.is_between_messages())))
     }
 
     /// The connection is gone: what was out is due again, behind the rest.
     pub fn broken(&mut self) {
-        self.decoder = Decoder::answers(MOST_ANSWER);
+        self.decoder = Decoder::for_responses(MOST_ANSWER);
         self.due.extend(self.out.drain(..));
     }
 }
--- a/crates/sender/tests/bridge.rs
+++ b/crates/sender/tests/bridge.rs
@@ -1,7 +1,7 @@
 //! The bridge without sockets: what a start found goes back to the module bit by bit.
 
 use scalebarrow_sender::bridge::Bridge;
-use scalebarrow_sender::clients::{HandIn, Reply};
+use scalebarrow_sender::clients::{IncomingWebhook, Reply};
 use scalebarrow_sender::clock::BootReading;
 use scalebarrow_sender::config::Config;
 use scalebarrow_sender::journal::Journal;
@@ -31,9 +31,10 @@
     Bridge::open(Config::decode(CONFIG.as_bytes()).unwrap(), journal, now)
 }
 
-fn hand_in(bridge: &mut Bridge, now: f64, id: &str, key: &str, left: f64) -> Reply {
+fn hand_in(bridge: &mut Bridge, now: f64, id: &str, key: &str, remaining_secs: f64) -> Reply {
     let (id, event_type, order_key) = (id.to_owned(), "e".to_owned(), Some(key.to_owned()));
-    let from = HandIn { id, event_type, dest: 1, order_key, customer: None, token: None, left };
+    let from =
+        IncomingWebhook { id, event_type, dest: 1, order_key, customer: None, token: None, remaining_secs };
     bridge.hand_in(now, from, b"body".to_vec()).0
 }
 
@@ -48,7 +49,7 @@
     for number in 0..350 {
         let left = if number == 349 { 5.0 } else { 50.0 };
         let key = format!("key-{}", number % 50);
-        assert_eq!(hand_in(&mut bridge, 100.0, &format!("old-{number}"), &key, left), Reply::Taken);
+        assert_eq!(hand_in(&mut bridge, 100.0, &format!("old-{number}"), &key, left), Reply::Accepted);
     }
 }
 
@@ -78,7 +79,7 @@
     fill(&folder);
     let mut bridge = open(&folder, 101.0);
     for id in ["old-0", "old-348"] {
-        assert_eq!(hand_in(&mut bridge, 101.0, id, "key-0", 50.0), Reply::Taken);
+        assert_eq!(hand_in(&mut bridge, 101.0, id, "key-0", 50.0), Reply::Accepted);
     }
     drop(bridge);
     let journal = Journal::open(&folder, LIMIT, &BootReading::now()).unwrap().0;
@@ -103,8 +104,8 @@
     fill(&folder);
     let mut bridge = open(&folder, 101.0);
     // The last with key 47 waits at the very end; nothing with the other key does.
-    assert_eq!(hand_in(&mut bridge, 101.0, "new-47", "key-47", 50.0), Reply::Taken);
-    assert_eq!(hand_in(&mut bridge, 101.0, "new-other", "other", 50.0), Reply::Taken);
+    assert_eq!(hand_in(&mut bridge, 101.0, "new-47", "key-47", 50.0), Reply::Accepted);
+    assert_eq!(hand_in(&mut bridge, 101.0, "new-other", "other", 50.0), Reply::Accepted);
     assert_eq!(calls(&mut bridge, 101.0), ["new-other"]);
     let mut sent = Vec::new();
     for turn in 0..3000 {
@@ -136,9 +137,9 @@
     fill(&folder);
     let mut bridge = open(&folder, 101.0);
     for number in 0..50 {
-        assert_eq!(hand_in(&mut bridge, 101.0, &format!("new-{number}"), "other", 50.0), Reply::Taken);
+        assert_eq!(hand_in(&mut bridge, 101.0, &format!("new-{number}"), "other", 50.0), Reply::Accepted);
     }
-    assert_eq!(hand_in(&mut bridge, 101.0, "too-many", "other", 50.0), Reply::NoRoom);
+    assert_eq!(hand_in(&mut bridge, 101.0, "too-many", "other", 50.0), Reply::Unavailable);
 }
 
 #[test]
@@ -147,9 +148,17 @@
     fill(&folder);
     let mut bridge = open(&folder, 101.0);
     let (id, event_type, order_key) = ("gone".to_owned(), "e".to_owned(), Some("key-0".to_owned()));
-    let from = HandIn { id, event_type, dest: 1, order_key, customer: None, token: None, left: 50.0 };
+    let from = IncomingWebhook {
+        id,
+        event_type,
+        dest: 1,
+        order_key,
+        customer: None,
+        token: None,
+        remaining_secs: 50.0,
+    };
     let (reply, number) = bridge.hand_in(101.0, from, Vec::new());
-    assert_eq!(reply, Reply::Taken);
+    assert_eq!(reply, Reply::Accepted);
     bridge.withdrawn(101.0, number.unwrap());
     drop(bridge);
     assert_eq!(Journal::open(&folder, LIMIT, &BootReading::now()).unwrap().0.open_count(), 350);
