--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -1,36 +1,37 @@
-//! Those who hand in webhooks: what they ask, and what they are answered.
+//! Connections of the clients that hand in webhooks: their requests, the replies to these, and the states of
+//! such a connection.
 
 use crate::http::{
     Decoder, Headers, MAX_BODY_BYTES, Message, MessageHead, StartLine, decode_duration, encode_empty_response,
 };
 use std::collections::BTreeSet;
 
-/// Ids, keys and names of customers: longer ones are no ids.
-const MOST_ID: usize = 256;
+/// Limit for webhook ids, ordering keys and idempotency keys.
+const MAX_ID_BYTES: usize = 256;
 
-/// After the last answer, what still comes is passed over in so many reads, so that no reset overtakes it.
-const LINGER_READS: usize = 16;
+/// How many reads are discarded after the last response, so that a reset does not overtake that response.
+const MAX_LINGER_READS: usize = 16;
 
-/// A webhook as it is handed in, less its body.
+/// A webhook that a client hands in, without its body.
 #[derive(Debug, Clone, PartialEq)]
 pub struct IncomingWebhook {
-    /// The id that the client gave it.
+    /// The id that the client chose.
     pub id: String,
     /// The name of its event type.
     pub event_type: String,
     /// The number of its destination.
     pub dest: u64,
-    /// Webhooks with the same order key go one at a time, where the event type asks for it.
+    /// The ordering key: webhooks that share one are delivered one at a time if the event type requires it.
     pub order_key: Option<String>,
-    /// The customer that it counts for.
+    /// The customer whose quota the webhook counts towards.
     pub customer: Option<String>,
     /// The idempotency key.
     pub token: Option<String>,
-    /// Seconds in which it may still be delivered.
+    /// The TTL: how many seconds are left to deliver the webhook.
     pub remaining_secs: f64,
 }
 
-/// The methods that are told apart.
+/// The request methods that the router distinguishes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Method {
     Get,
@@ -38,18 +39,18 @@
     Other,
 }
 
-/// A request, less its body. `hand_in` is there when all its lines are.
+/// The head of a request. `webhook` is set if all headers that a webhook needs are present and valid.
 #[derive(Debug)]
 pub struct RequestHead {
     method: Method,
     path: String,
-    hand_in: Option<IncomingWebhook>,
+    webhook: Option<IncomingWebhook>,
 }
 
 impl MessageHead for RequestHead {
-    fn decode(start: &StartLine, fields: &Headers) -> Self {
+    fn decode(start: &StartLine, headers: &Headers) -> Self {
         let StartLine::Request { method, target } = *start else {
-            return RequestHead { method: Method::Other, path: String::new(), hand_in: None };
+            return RequestHead { method: Method::Other, path: String::new(), webhook: None };
         };
         let method = match method {
             "GET" => Method::Get,
@@ -57,168 +58,180 @@
             _ => Method::Other,
         };
         let path = target.split('?').next().unwrap_or("").trim_start_matches('/');
-        // The event type is the first part of the path.
+        // The event type is the first segment of the path.
         let path = path.split('/').next().unwrap_or("").to_owned();
-        let hand_in = decode_hand_in(&path, fields);
-        RequestHead { method, path, hand_in }
+        let webhook = decode_webhook(&path, headers);
+        RequestHead { method, path, webhook }
     }
 }
 
-fn decode_hand_in(event_type: &str, fields: &Headers) -> Option<IncomingWebhook> {
-    // An id goes into lines of other messages: without blanks or signs that would end it there.
-    let id = |name| match fields.get(name) {
-        Some(v) if !v.is_empty() && v.len() <= MOST_ID && v.bytes().all(|b| b.is_ascii_graphic()) => {
-            Some(Some(v.to_owned()))
+/// The webhook described by the headers of a request, or none if one is missing or invalid.
+fn decode_webhook(event_type: &str, headers: &Headers) -> Option<IncomingWebhook> {
+    // Ids are copied to headers and lines of other messages, so they must not contain blanks or line breaks.
+    let id = |name| match headers.get(name) {
+        Some(value)
+            if !value.is_empty()
+                && value.len() <= MAX_ID_BYTES
+                && value.bytes().all(|byte| byte.is_ascii_graphic()) =>
+        {
+            Some(Some(value.to_owned()))
         }
         Some(_) => None,
         None => Some(None),
     };
-    let mut extras = fields.get("X-Addressing")?.split([';', ',', ' ']);
-    let dest = extras.find_map(|e| e.trim().strip_prefix("dest="))?.parse().ok()?;
+    let mut parameters = headers.get("X-Addressing")?.split([';', ',', ' ']);
+    let dest = parameters.find_map(|parameter| parameter.trim().strip_prefix("dest="))?.parse().ok()?;
     Some(IncomingWebhook {
         id: id("Req-Id")??,
         event_type: event_type.to_owned(),
         dest,
         order_key: id("Req-Key")?,
-        customer: fields.get("Req-Owner").map(str::to_owned),
+        customer: headers.get("Req-Owner").map(str::to_owned),
         token: id("Idempotency-Key")?,
-        remaining_secs: decode_duration(fields.get("Req-Deadline")?)?,
+        remaining_secs: decode_duration(headers.get("Req-Deadline")?)?,
     })
 }
 
-/// What a client gets to hear.
+/// The reply to a client's request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Reply {
-    /// The sender serves.
+    /// 200: the sender is ready.
     Ready,
-    /// The webhook is taken on.
+    /// 202: the webhook is accepted.
     Accepted,
-    /// Handing in again does no harm, after so many seconds (0: nothing said).
+    /// 429: the webhook is rejected and can safely be handed in again, after so many seconds (0: none given).
     Rejected(f64),
-    /// No room, or no longer taking anything: harmless as well.
+    /// 503: the sender is at its limits or shutting down. The webhook can safely be handed in again.
     Unavailable,
-    /// Another status, without more.
+    /// Another status code.
     Status(u16),
 }
 
-/// What is awaited on a client's connection.
+/// What a client's connection is waiting for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     /// The next request.
     Idle,
     /// The rest of a request.
     Reading,
-    /// The client's reading of an answer.
+    /// The client, which has to read a response.
     Writing,
-    /// The sending side is shut; the client has to close.
+    /// The client, which has to close the connection after its sending side was shut down here.
     Lingering,
 }
 
-/// What is to be done next on a client's connection once all that was to be written is written.
+/// What the driver has to do next on a client's connection once its output buffer is empty.
 #[derive(Debug)]
 pub enum Step {
-    /// A request has come as a whole.
-    Serve(Message<RequestHead>),
-    /// What came is no request; the last answer says why.
-    Refuse(u16),
-    /// The client waits for leave to send the body.
-    Leave,
-    /// More has to be read.
+    /// Handle a request that was received completely.
+    HandleRequest(Message<RequestHead>),
+    /// Send an error status as the last response, since the bytes received are not a valid request.
+    Reject(u16),
+    /// Send `100 Continue`, for which the client waits before it sends the body.
+    SendContinue,
+    /// Read more.
     Read,
-    /// Nothing more will be said: the sending side is shut, and no request is taken from then on.
-    Shut,
-    /// The connection is closed.
+    /// Shut down the sending side. No request is handled from then on.
+    ShutdownWrite,
+    /// Close the connection.
     Close,
 }
 
-/// One client's connection. It is shut before it is closed: a close over bytes that have come unseen resets the
-/// connection, and a reset may overtake the last answer.
+/// One client's connection. Its sending side is shut down before it is closed: closing a socket with unread
+/// bytes resets the connection, and the reset may overtake the last response.
 #[derive(Debug)]
 pub struct Client {
     decoder: Decoder<RequestHead>,
-    /// What is awaited now.
+    /// What the connection is waiting for.
     pub stage: Stage,
-    /// No request has come yet.
-    pub fresh: bool,
-    /// Nothing more is taken from it once all is written; what still comes is passed over.
-    last: bool,
-    /// Reads that were passed over since.
-    passed: usize,
-    /// The webhook whose 202 is not yet written as a whole.
+    /// No request was received yet.
+    pub awaits_first_request: bool,
+    /// The connection is closed once its output is written; further input is discarded.
+    closing: bool,
+    /// Reads that were discarded since then.
+    discarded_reads: usize,
+    /// The number of the webhook whose 202 is not yet written completely.
     pub unacknowledged: Option<u64>,
 }
 
 impl Default for Client {
     fn default() -> Self {
         let decoder = Decoder::for_requests(MAX_BODY_BYTES);
-        Client { decoder, stage: Stage::Idle, fresh: true, last: false, passed: 0, unacknowledged: None }
+        Client {
+            decoder,
+            stage: Stage::Idle,
+            awaits_first_request: true,
+            closing: false,
+            discarded_reads: 0,
+            unacknowledged: None,
+        }
     }
 }
 
 impl Client {
-    /// A connection on which nothing has come yet.
+    /// A connection on which nothing was received yet.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The next step; only where nothing is left to write.
-    pub fn step(&mut self) -> Step {
-        if self.last && self.stage != Stage::Lingering {
-            return Step::Shut;
+    /// The next step. May be called only when nothing is left to write.
+    pub fn next_step(&mut self) -> Step {
+        if self.closing && self.stage != Stage::Lingering {
+            return Step::ShutdownWrite;
         }
-        if self.last {
-            return if self.passed > LINGER_READS { Step::Close } else { Step::Read };
+        if self.closing {
+            return if self.discarded_reads > MAX_LINGER_READS { Step::Close } else { Step::Read };
         }
         match self.decoder.next_message() {
-            Ok(Some(request)) => Step::Serve(request),
-            Ok(None) if self.decoder.take_expect_continue() => Step::Leave,
+            Ok(Some(request)) => Step::HandleRequest(request),
+            Ok(None) if self.decoder.take_expect_continue() => Step::SendContinue,
             Ok(None) => Step::Read,
-            Err(fault) => Step::Refuse(fault.status()),
+            Err(error) => Step::Reject(error.status()),
         }
     }
 
-    /// Takes in what was read.
-    pub fn bytes(&mut self, bytes: &[u8]) {
-        if self.last { self.passed += 1 } else { self.decoder.feed(bytes) }
+    /// Takes bytes that were read from the connection.
+    pub fn receive(&mut self, bytes: &[u8]) {
+        if self.closing { self.discarded_reads += 1 } else { self.decoder.feed(bytes) }
     }
 
-    /// A read found nothing: what is awaited now. Where the process is to end, a connection between requests ends
-    /// instead, and nothing is told.
-    pub fn quiet(&mut self, closing: bool) -> Option<Stage> {
-        let between = self.decoder.is_between_messages();
-        if !self.last && between && closing && !self.fresh {
-            self.end();
+    /// Handles a read that found nothing and returns what the connection is waiting for. While the process
+    /// shuts down, a connection between requests is closed instead, and nothing is returned.
+    pub fn read_blocked(&mut self, shutting_down: bool) -> Option<Stage> {
+        let between_requests = self.decoder.is_between_messages();
+        if !self.closing && between_requests && shutting_down && !self.awaits_first_request {
+            self.begin_close();
             return None;
         }
-        let reads = if between { Stage::Idle } else { Stage::Reading };
-        Some(if self.last { Stage::Lingering } else { reads })
+        let open_stage = if between_requests { Stage::Idle } else { Stage::Reading };
+        Some(if self.closing { Stage::Lingering } else { open_stage })
     }
 
-    /// The answer in hand is the last, or none was owed.
-    pub fn end(&mut self) {
-        self.last = true;
+    /// Closes the connection once its output is written; further input is discarded.
+    pub fn begin_close(&mut self) {
+        self.closing = true;
         self.decoder = Decoder::for_requests(0);
     }
 
-    /// What the buffers take up.
-    pub fn held(&self) -> usize {
+    /// The memory taken by the buffers.
+    pub fn buffered_bytes(&self) -> usize {
         self.decoder.buffered_bytes()
     }
 }
 
-/// Where a request leads: to a webhook, or straight to an answer.
-pub fn route(asked: RequestHead, event_types: &BTreeSet<String>) -> Result<IncomingWebhook, Reply> {
-    match (asked.method, asked.path.as_str()) {
+/// Routes a request: to the webhook that it hands in, or directly to a reply.
+pub fn route(request: RequestHead, event_types: &BTreeSet<String>) -> Result<IncomingWebhook, Reply> {
+    match (request.method, request.path.as_str()) {
         (Method::Get, "ready") => Err(Reply::Ready),
         (_, "ready") => Err(Reply::Status(405)),
         (_, path) if !event_types.contains(path) => Err(Reply::Status(404)),
-        (Method::Post, _) => asked.hand_in.ok_or(Reply::Status(400)),
+        (Method::Post, _) => request.webhook.ok_or(Reply::Status(400)),
         _ => Err(Reply::Status(405)),
     }
 }
 
-/// Appends an answer; `close` says that it is the last.
-pub fn encode(out: &mut Vec<u8>, reply: Reply, close: bool) {
+/// Appends a reply; `close` marks it as the last one on its connection.
+pub fn encode_reply(out: &mut Vec<u8>, reply: Reply, close: bool) {
     match reply {
         Reply::Ready => encode_empty_response(out, 200, &[], close),
         Reply::Accepted => encode_empty_response(out, 202, &[], close),
--- a/crates/sender/src/driver/budgets.rs
+++ b/crates/sender/src/driver/budgets.rs
@@ -33,7 +33,7 @@
     /// Unfinished messages of clients, or of endpoints, take up all that they may.
     pub(super) fn buffers_full(&self, of_clients: bool) -> bool {
         let held = |connection: &Connection| match &connection.peer {
-            Peer::Client(client) if of_clients => client.held(),
+            Peer::Client(client) if of_clients => client.buffered_bytes(),
             Peer::Endpoint(endpoint) if !of_clients => endpoint.decoder.buffered_bytes(),
             _ => 0,
         };
--- a/crates/sender/src/driver/clients.rs
+++ b/crates/sender/src/driver/clients.rs
@@ -70,8 +70,8 @@
         let silent_until = self.now + REQUEST_TIMEOUT - SILENT_CLIENT;
         let rank = |connection: &Connection| match &connection.peer {
             Peer::Client(c) => match c.stage {
-                Stage::Idle if c.fresh && connection.deadline < silent_until => Some(0),
-                Stage::Idle if !c.fresh => Some(1),
+                Stage::Idle if c.awaits_first_request && connection.deadline < silent_until => Some(0),
+                Stage::Idle if !c.awaits_first_request => Some(1),
                 Stage::Reading => Some(2),
                 Stage::Idle => Some(3).filter(|_| short),
                 Stage::Writing | Stage::Lingering => None,
@@ -124,8 +124,8 @@
             if !connection.out.is_empty() {
                 return self.set_stage(id, Stage::Writing);
             }
-            match client.step() {
-                Step::Serve(request) => {
+            match client.next_step() {
+                Step::HandleRequest(request) => {
                     let routed = clients::route(request.head, self.bridge.event_types());
                     let (reply, number) = match routed {
                         // It did not wait for the answer: what it handed in is not taken on.
@@ -136,15 +136,16 @@
                         Err(reply) => (reply, None),
                     };
                     let last = !request.keep_alive || self.closing.is_some();
-                    (client.fresh, client.unacknowledged, client.stage) = (false, number, Stage::Writing);
+                    (client.awaits_first_request, client.unacknowledged, client.stage) =
+                        (false, number, Stage::Writing);
                     if last {
-                        client.end();
+                        client.begin_close();
                     }
-                    clients::encode(&mut connection.out, reply, last);
+                    clients::encode_reply(&mut connection.out, reply, last);
                 }
-                Step::Refuse(status) => self.refuse_client(id, Reply::Status(status)),
-                Step::Leave => connection.out.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n"),
-                Step::Shut => {
+                Step::Reject(status) => self.refuse_client(id, Reply::Status(status)),
+                Step::SendContinue => connection.out.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n"),
+                Step::ShutdownWrite => {
                     // Where this fails the connection is gone, which the next read tells.
                     let _ = connection.stream.shutdown(Shutdown::Write);
                     self.set_stage(id, Stage::Lingering);
@@ -154,8 +155,8 @@
                     ReadResult::Bytes(count) => {
                         let Some(connection) = self.connections.get_mut(&id) else { return };
                         let Peer::Client(client) = &mut connection.peer else { return };
-                        client.bytes(&self.read_buffer[..count]);
-                        if client.held() > SMALL_BUFFER && self.buffers_full(true) {
+                        client.receive(&self.read_buffer[..count]);
+                        if client.buffered_bytes() > SMALL_BUFFER && self.buffers_full(true) {
                             self.refuse_client(id, Reply::Unavailable);
                         }
                     }
@@ -163,7 +164,7 @@
                         let closing = self.closing.is_some();
                         let Some(connection) = self.connections.get_mut(&id) else { return };
                         let Peer::Client(client) = &mut connection.peer else { return };
-                        if let Some(stage) = client.quiet(closing) {
+                        if let Some(stage) = client.read_blocked(closing) {
                             return self.set_stage(id, stage);
                         }
                         connection.ends = Some(Reason::Closing);
@@ -179,15 +180,15 @@
     pub(super) fn refuse_client(&mut self, id: usize, reply: Reply) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let Peer::Client(client) = &mut connection.peer else { return };
-        clients::encode(&mut connection.out, reply, true);
-        client.end();
+        clients::encode_reply(&mut connection.out, reply, true);
+        client.begin_close();
     }
 
     /// Ends a client's connection between requests. One that crosses this on its way is not taken on.
     pub(super) fn end_client(&mut self, id: usize, reason: Reason) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let Peer::Client(client) = &mut connection.peer else { return };
-        client.end();
+        client.begin_close();
         connection.ends = Some(reason);
         self.client_ready(id);
     }
@@ -204,7 +205,7 @@
             Stage::Lingering => LINGER_TIMEOUT,
         };
         // A request may not take longer because it comes in small pieces, nor the first because it begins late.
-        if old != stage && !(client.fresh && stage == Stage::Reading) {
+        if old != stage && !(client.awaits_first_request && stage == Stage::Reading) {
             self.set_deadline(id, self.now + within);
         }
         self.accept_again |= self.accept_waits && matches!(stage, Stage::Idle | Stage::Lingering);
--- a/crates/sender/src/driver/signals.rs
+++ b/crates/sender/src/driver/signals.rs
@@ -42,7 +42,8 @@
         let clients = self.connections.iter_mut().filter_map(|(id, connection)| match &mut connection.peer {
             Peer::Client(client) => {
                 // Who has connected this moment is about to ask, as those are who come after the signal.
-                client.fresh &= self.now <= connection.deadline - REQUEST_TIMEOUT + SILENT_CLIENT;
+                client.awaits_first_request &=
+                    self.now <= connection.deadline - REQUEST_TIMEOUT + SILENT_CLIENT;
                 Some(*id)
             }
             _ => None,
--- a/crates/sender/src/http/tests.rs
+++ b/crates/sender/src/http/tests.rs
@@ -1,53 +1,55 @@
 use super::*;
 
-/// The first line and one field, as text.
+/// The start line and the header `X-A` as text.
 #[derive(Debug)]
-struct Seen(String);
+struct TextHead(String);
 
-impl MessageHead for Seen {
-    fn decode(start: &StartLine, fields: &Headers) -> Self {
-        let line = match start {
+impl MessageHead for TextHead {
+    fn decode(start: &StartLine, headers: &Headers) -> Self {
+        let start_line = match start {
             StartLine::Request { method, target } => format!("{method} {target}"),
             StartLine::Response { status } => status.to_string(),
         };
-        Seen(format!("{line} {}", fields.get("x-a").unwrap_or("-")))
+        TextHead(format!("{start_line} {}", headers.get("x-a").unwrap_or("-")))
     }
 }
 
-/// All that comes out of `bytes`, fed in pieces of `step`.
-fn read(answers: bool, bytes: &[u8], step: usize) -> Vec<String> {
-    let mut decoder = if answers {
-        Decoder::<Seen>::for_responses(MAX_BODY_BYTES)
+/// The messages and errors decoded from `bytes` when these are fed in chunks of `chunk_bytes`.
+fn decode_all(reads_responses: bool, bytes: &[u8], chunk_bytes: usize) -> Vec<String> {
+    let mut decoder = if reads_responses {
+        Decoder::<TextHead>::for_responses(MAX_BODY_BYTES)
     } else {
         Decoder::for_requests(MAX_BODY_BYTES)
     };
-    let mut out = Vec::new();
-    for piece in bytes.chunks(step) {
-        decoder.feed(piece);
+    let mut decoded = Vec::new();
+    for chunk in bytes.chunks(chunk_bytes) {
+        decoder.feed(chunk);
         loop {
             match decoder.next_message() {
-                Ok(Some(m)) => {
-                    let body = String::from_utf8_lossy(&m.body).into_owned();
-                    out.push(format!(
+                Ok(Some(message)) => {
+                    let body = String::from_utf8_lossy(&message.body).into_owned();
+                    decoded.push(format!(
                         "{} [{body}] {}",
-                        m.head.0,
-                        if m.keep_alive { "keep" } else { "close" }
+                        message.head.0,
+                        if message.keep_alive { "keep" } else { "close" }
                     ));
                 }
                 Ok(None) => break,
-                Err(fault) => {
-                    out.push(format!("{fault:?}"));
-                    return out;
+                Err(error) => {
+                    decoded.push(format!("{error:?}"));
+                    return decoded;
                 }
             }
         }
     }
-    out.extend(decoder.end_of_stream().map(|m| format!("{} [{}] ended", m.head.0, m.body.len())));
-    out
+    decoded.extend(
+        decoder.end_of_stream().map(|message| format!("{} [{}] ended", message.head.0, message.body.len())),
+    );
+    decoded
 }
 
 #[test]
-fn messages_come_out_the_same_however_their_bytes_come_in() {
+fn decoded_messages_do_not_depend_on_how_the_input_is_split() {
     let get = "GET /r HTTP/1.1\r\n";
     let ok = "HTTP/1.1 200 OK\r\n";
     let cases: [(bool, String, &[&str]); 36] = [
@@ -91,7 +93,7 @@
         (true, format!("{ok}Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), &["200 - [a] keep"]),
         (true, format!("{ok}Content-Length: 5\r\n\r\nhi"), &[]),
         (true, "SSH-2.0-x\r\n\r\n".into(), &["Malformed"]),
-        // Spoilt: noise, heads that cannot be read or never end, lengths that do not fit, a body without end.
+        // Invalid: noise, heads that cannot be parsed or never end, wrong lengths, a body without end.
         (true, "\u{7f}\u{3}x".into(), &["Malformed"]),
         (true, format!("{ok}\u{1}: 2\r\n\r\n"), &["Malformed"]),
         (true, format!("{ok}X-A\r\n\r\n"), &["Malformed"]),
@@ -103,7 +105,7 @@
         (true, format!("{ok}Content-Length: 3221225472\r\n\r\nhi"), &["BodyTooBig"]),
         (true, format!("{ok}\r\n{}", "x".repeat(MAX_BODY_BYTES + 1)), &["BodyTooBig"]),
         (true, format!("{ok}Transfer-Encoding: chunked\r\n\r\nC0000000\r\nhi"), &["BodyTooBig"]),
-        // Good, with more than belongs to them.
+        // Valid messages that are followed by more bytes.
         (true, format!("{ok}Content-Length: 0\r\n\r\n").repeat(2), &["200 - [] keep", "200 - [] keep"]),
         (true, format!("{ok}Content-Length: 0\r\n\r\n\u{7f}"), &["200 - [] keep", "Malformed"]),
         (
@@ -112,16 +114,20 @@
             &["200 - [a] keep"],
         ),
     ];
-    for (answers, bytes, wanted) in cases {
-        for step in [1, 2, 7, usize::MAX] {
+    for (reads_responses, bytes, expected) in cases {
+        for chunk_bytes in [1, 2, 7, usize::MAX] {
             let name = &bytes[..bytes.len().min(90)];
-            assert_eq!(read(answers, bytes.as_bytes(), step), wanted, "in pieces of {step}: {name:?}");
+            assert_eq!(
+                decode_all(reads_responses, bytes.as_bytes(), chunk_bytes),
+                expected,
+                "in chunks of {chunk_bytes}: {name:?}"
+            );
         }
     }
 }
 
 #[test]
-fn the_first_line_of_an_unfinished_answer_tells_its_status() {
+fn pending_status_is_known_once_the_status_line_is_complete() {
     for (bytes, status) in [
         ("", None),
         ("HTTP/1.1 20", None),
@@ -130,15 +136,15 @@
         ("HTTP/1.1 503 No\r\nRetry-Af", Some(503)),
         ("garbage", None),
     ] {
-        let mut decoder = Decoder::<Seen>::for_responses(MAX_BODY_BYTES);
+        let mut decoder = Decoder::<TextHead>::for_responses(MAX_BODY_BYTES);
         decoder.feed(bytes.as_bytes());
         assert_eq!(decoder.pending_status(), status, "{bytes:?}");
     }
 }
 
 #[test]
-fn times_need_a_number_and_a_unit() {
-    for (text, time) in [
+fn durations_need_a_number_and_a_unit() {
+    for (text, seconds) in [
         ("480m", Some(0.48)),
         ("1500u", Some(0.0015)),
         ("0.5m", Some(0.0005)),
@@ -153,6 +159,6 @@
         ("9999999999999999m", None),
         ("5é", None),
     ] {
-        assert_eq!(decode_duration(text), time, "{text}");
+        assert_eq!(decode_duration(text), seconds, "{text}");
     }
 }
