--- a/crates/sender/src/bridge.rs
+++ b/crates/sender/src/bridge.rs
@@ -6,7 +6,7 @@
 use crate::clock;
 use crate::config::Config;
 use crate::counters::{Counters, Transition};
-use crate::endpoints::{self, Answer, Call, CalledWebhook, Ending, Load};
+use crate::endpoints::{self, AttemptResult, Call, CalledWebhook, Load, ResponseHead};
 use crate::journal::{End, Journal, Tries, Webhook, key_hash};
 use crate::list::{Health, News};
 use crate::notices::Notices;
@@ -33,10 +33,10 @@
 /// What the driver is to do.
 #[derive(Debug, PartialEq)]
 pub enum Action {
-    CallOff(u64),
-    CloseIdle(String),
-    Wake(f64),
-    Watch(bool),
+    CancelAttempt(u64),
+    CloseIdleConnections(String),
+    WakeAfter(f64),
+    WatchList(bool),
 }
 
 /// What the module asks for while it takes one input.
@@ -53,7 +53,7 @@
     }
     // Never two attempts for a webhook at once: the number alone tells which is meant.
     fn cancel_attempt(&mut self, webhook: u64, _hop: u32) {
-        self.actions.push(Action::CallOff(webhook));
+        self.actions.push(Action::CancelAttempt(webhook));
     }
     fn reject(&mut self, webhook: u64, come_back: f64) {
         self.ends.push((webhook, End::Rejected(come_back)));
@@ -62,13 +62,13 @@
         self.ends.push((webhook, End::DeadLettered));
     }
     fn schedule_wake(&mut self, after: f64, _handle: u64) {
-        self.actions.push(Action::Wake(after));
+        self.actions.push(Action::WakeAfter(after));
     }
     fn watch_list(&mut self, on: bool) {
-        self.actions.push(Action::Watch(on));
+        self.actions.push(Action::WatchList(on));
     }
     fn close_idle_connections(&mut self, ep: &str) {
-        self.actions.push(Action::CloseIdle(ep.to_owned()));
+        self.actions.push(Action::CloseIdleConnections(ep.to_owned()));
     }
     fn log(&mut self, text: &str) {
         info!(text, "decision module");
@@ -77,12 +77,12 @@
 
 /// Whether a call may be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GoAhead {
-    Yes,
+pub enum WriteDecision {
+    Write,
     /// Something came in between that stands against it.
-    NotNow,
+    HoldBack,
     /// It cannot be put down.
-    NoRoom,
+    JournalFailed,
 }
 
 /// Where an endpoint is reached, and what a call to it may hold.
@@ -139,8 +139,8 @@
 }
 
 impl Bridge {
-    /// The module as the journal left it, but for what is still open: that goes back to it with [`Bridge::step`]. What is
-    /// owed is due again.
+    /// The module as the journal left it, but for what is still open: that goes back to it with
+    /// [`Bridge::run_maintenance`]. What is owed is due again.
     pub fn open(config: Config, mut journal: Journal, now: f64) -> Self {
         let found = journal.take_resumable();
         log_found(&journal, &found, now);
@@ -166,13 +166,13 @@
         bridge.journal.all_owed().into_iter().for_each(|number| bridge.notices.push(number));
         bridge.journal.take_ended().into_iter().for_each(|id| bridge.remember(id));
         let known = std::mem::take(&mut bridge.config.known.hosts);
-        bridge.list(now, &News { seq: 0, whole: true, hosts: known }, true);
+        bridge.update_list(now, &News { seq: 0, whole: true, hosts: known }, true);
         bridge
     }
 
     /// A bounded part of what can be done between turns: the journal is compacted, and what a start found goes back to
     /// the module.
-    pub fn step(&mut self, now: f64) {
+    pub fn run_maintenance(&mut self, now: f64) {
         self.counters.log_due(now, self.journal.open_count(), self.notices.len());
         if let Err(e) = self.journal.step() {
             warn!(code = "journal-write", %e, "the journal cannot be compacted");
@@ -200,7 +200,7 @@
             self.notices.push(number);
         }
         if !self.withheld.is_empty() {
-            self.asked.actions.push(Action::Wake(RETRY_PAUSE));
+            self.asked.actions.push(Action::WakeAfter(RETRY_PAUSE));
         }
     }
 
@@ -218,7 +218,7 @@
                 error!(code = "journal-read", number, %error, "a webhook cannot be read yet");
                 self.backlog.add(next);
                 self.resumes_at = Some(now + READ_PAUSE);
-                return self.asked.actions.push(Action::Wake(READ_PAUSE));
+                return self.asked.actions.push(Action::WakeAfter(READ_PAUSE));
             }
         };
         self.counters.count(Transition::Resumed);
@@ -241,7 +241,7 @@
     }
 
     /// The configuration was read again. What is held and owed goes on.
-    pub fn reread(&mut self, config: Config) {
+    pub fn apply_config(&mut self, config: Config) {
         config.tell(&mut self.sender);
         (self.reports, self.event_types) = (config.reports(), config.event_types());
         self.journal.set_most(config.limits.disk());
@@ -256,7 +256,7 @@
         &self.event_types
     }
 
-    pub fn dial(&self, ep: &str) -> Option<SocketAddr> {
+    pub fn endpoint_address(&self, ep: &str) -> Option<SocketAddr> {
         self.places.get(ep).map(|p| p.dial)
     }
 
@@ -303,7 +303,7 @@
             _ => {
                 self.counters.count(Transition::Withheld);
                 self.withheld.add(now, number, ends_at);
-                self.asked.actions.push(Action::Wake(RETRY_PAUSE));
+                self.asked.actions.push(Action::WakeAfter(RETRY_PAUSE));
             }
         }
     }
@@ -378,7 +378,7 @@
     }
 
     /// The client went away before it heard that its webhook is taken on.
-    pub fn withdrawn(&mut self, now: f64, number: u64) {
+    pub fn withdraw(&mut self, now: f64, number: u64) {
         if let Some(webhook) = self.journal.open_webhook(number) {
             let id = &webhook.id;
             self.counters.count(Transition::Withdrawn);
@@ -393,13 +393,13 @@
         self.settle(now);
     }
 
-    pub fn list(&mut self, now: f64, news: &News, remembered: bool) {
+    pub fn update_list(&mut self, now: f64, news: &News, remembered: bool) {
         let mut entries = Vec::new();
         if news.whole {
             // Those that left are not called any more; what is on its way has its address already.
             let listed: BTreeSet<&str> = news.hosts.iter().map(|h| h.host.as_str()).collect();
             let left = self.places.extract_if(.., |host, _| !listed.contains(host.as_str()));
-            self.asked.actions.extend(left.map(|(host, _)| Action::CloseIdle(host)));
+            self.asked.actions.extend(left.map(|(host, _)| Action::CloseIdleConnections(host)));
         }
         for h in &news.hosts {
             let Some(destination) = h.dest else { continue };
@@ -420,13 +420,13 @@
             });
             if h.health == Health::Deleted {
                 self.places.remove(&h.host);
-                self.asked.actions.push(Action::CloseIdle(h.host.clone()));
+                self.asked.actions.push(Action::CloseIdleConnections(h.host.clone()));
                 continue;
             }
             let (dial, zone, batch) = (h.dial, h.site.clone(), self.config.batch(&h.kind));
             let old = self.places.insert(h.host.clone(), Place { dial, zone, batch, born_ms });
             if old.is_some_and(|p| p.dial != dial) {
-                self.asked.actions.push(Action::CloseIdle(h.host.clone()));
+                self.asked.actions.push(Action::CloseIdleConnections(h.host.clone()));
             }
         }
         let mode = match (remembered, news.whole) {
@@ -456,34 +456,34 @@
     }
 
     /// The list could not be had.
-    pub fn no_list(&mut self, now: f64) {
+    pub fn list_unavailable(&mut self, now: f64) {
         self.sender.update_list(now, ListUpdate::Refused, &[], &mut self.asked);
         self.settle(now);
     }
 
-    pub fn woken(&mut self, now: f64) {
+    pub fn wake(&mut self, now: f64) {
         self.sender.wake(now, 0, &mut self.asked);
         self.settle(now);
     }
 
     /// The process will end; what is not back by then may have run.
-    pub fn closing(&mut self, now: f64, by: f64) {
+    pub fn begin_shutdown(&mut self, now: f64, by: f64) {
         self.sender.begin_shutdown(now, by, &mut self.asked);
         self.settle(now);
     }
 
     /// A call ended, with one ending for each of its webhooks.
-    pub fn ended(&mut self, now: f64, call: &Call, endings: &[Ending], answer: &Answer) {
-        let report = answer.report.filter(|_| self.reports);
-        if answer.wait > 0.0 {
+    pub fn call_ended(&mut self, now: f64, call: &Call, endings: &[AttemptResult], answer: &ResponseHead) {
+        let report = answer.limit_report.filter(|_| self.reports);
+        if answer.retry_after > 0.0 {
             debug!(
                 code = "wait",
-                ep = call.ep,
-                wait = answer.wait,
+                ep = call.endpoint,
+                wait = answer.retry_after,
                 status = answer.status,
                 "a wait was told"
             );
-            self.sender.wait_requested(now, &call.ep, answer.wait, &mut self.asked);
+            self.sender.wait_requested(now, &call.endpoint, answer.retry_after, &mut self.asked);
         }
         for (webhook, ending) in call.webhooks.iter().zip(endings) {
             let CalledWebhook { number, id, attempt } = webhook;
@@ -494,7 +494,7 @@
                 Outcome::Failed | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
             );
             let late = |w: &Webhook| now > w.ends_at - TOO_LATE && ending.outcome == Outcome::Delivered;
-            if ending.over {
+            if ending.is_final {
                 let late = self.journal.open_webhook(*number).is_some_and(|webhook| late(&webhook));
                 self.close(now, *number, if late { End::DeadLettered } else { End::Over });
             } else if let Some(attempt) = attempt
@@ -504,7 +504,7 @@
             }
             let over = !self.journal.is_open(*number);
             let took = now - call.decided_at;
-            let (ep, outcome, written) = (&call.ep, ending.outcome, call.written);
+            let (ep, outcome, written) = (&call.endpoint, ending.outcome, call.written);
             debug!(
                 code = "back",
                 id,
@@ -519,7 +519,7 @@
             );
             self.log_if_may_have_run(now, *number, id, call, outcome, &before);
             let out = &mut self.asked;
-            self.sender.attempt_ended(now, *number, &call.ep, ending.outcome, took, over, report, out);
+            self.sender.attempt_ended(now, *number, &call.endpoint, ending.outcome, took, over, report, out);
             self.settle(now);
         }
     }
@@ -532,7 +532,7 @@
             return;
         }
         let after = self.journal.tries(number);
-        let (ep, written, open) = (&call.ep, call.written, self.journal.is_open(number));
+        let (ep, written, open) = (&call.endpoint, call.written, self.journal.is_open(number));
         let (may_have_run_before, may_have_run_after) = (told(before, now), told(&after, now));
         if written {
             debug!(
@@ -561,31 +561,32 @@
 
     /// The calls that the inputs of one turn led to: what goes to one endpoint travels together, as far as
     /// its kind allows. The second list holds those that cannot be made.
-    pub fn calls(&mut self, now: f64) -> (Vec<Call>, Vec<Call>) {
+    pub fn take_calls(&mut self, now: f64) -> (Vec<Call>, Vec<Call>) {
         let mut calls: Vec<Call> = Vec::new();
         let mut not_made = Vec::new();
-        for (number, ep, stop_at) in std::mem::take(&mut self.asked.attempts) {
-            let (bytes, written) = (Vec::new(), false);
+        for (number, endpoint, give_up_at) in std::mem::take(&mut self.asked.attempts) {
+            let (request, written) = (Vec::new(), false);
             let id = self.journal.open_webhook(number).map(|w| w.id.clone());
-            let (batch, zone) = self.places.get(&ep).map_or((1, ""), |p| (p.batch, &p.zone));
-            let joins = calls.iter_mut().rev().find(|c| c.ep == ep).filter(|c| c.webhooks.len() < batch);
+            let (batch, zone) = self.places.get(&endpoint).map_or((1, ""), |p| (p.batch, &p.zone));
+            let joins =
+                calls.iter_mut().rev().find(|c| c.endpoint == endpoint).filter(|c| c.webhooks.len() < batch);
             match (id, joins) {
                 (Some(id), Some(call)) => {
                     call.webhooks.push(CalledWebhook::new(number, id));
-                    call.stop_at = call.stop_at.min(stop_at);
+                    call.give_up_at = call.give_up_at.min(give_up_at);
                 }
                 (id, _) => {
                     let list = if id.is_some() { &mut calls } else { &mut not_made };
                     let webhooks = vec![CalledWebhook::new(number, id.unwrap_or_default())];
                     let zone = zone.to_owned();
                     list.push(Call {
-                        ep,
+                        endpoint,
                         zone,
                         webhooks,
                         decided_at: now,
-                        stop_at,
-                        write_by: stop_at,
-                        bytes,
+                        give_up_at,
+                        write_deadline: give_up_at,
+                        request,
                         written,
                     });
                 }
@@ -596,18 +597,18 @@
             let webhooks: Vec<_> = numbers.filter_map(|number| self.journal.open_webhook(number)).collect();
             let loads = webhooks.iter().map(|w| Load { id: &w.id, token: w.token.as_deref(), body: &w.body });
             let loads: Vec<Load> = loads.collect();
-            let host = self.places.get(&call.ep).map(|p| p.dial.to_string()).unwrap_or_default();
-            let (ep, stop_in) = (&call.ep, call.stop_at - now);
-            debug!(code = "decided", ids = ?call.webhooks, ep, stop_in, "an attempt is to be made");
-            match endpoints::encode(&loads, &host, call.stop_at - now) {
-                Some(bytes) => calls.push(Call { bytes, ..call }),
+            let host = self.places.get(&call.endpoint).map(|p| p.dial.to_string()).unwrap_or_default();
+            let (endpoint, stop_in) = (&call.endpoint, call.give_up_at - now);
+            debug!(code = "decided", ids = ?call.webhooks, ep = endpoint, stop_in, "an attempt is to be made");
+            match endpoints::encode(&loads, &host, call.give_up_at - now) {
+                Some(request) => calls.push(Call { request, ..call }),
                 None if call.webhooks.len() > 1 => {
                     // Together they are too long for a body: the first goes, the others count as not sent.
                     let rest = call.webhooks.split_off(1);
-                    let (ep, zone, bytes) = (call.ep.clone(), call.zone.clone(), Vec::new());
-                    not_made.push(Call { ep, zone, webhooks: rest, bytes, ..call });
-                    if let Some(bytes) = endpoints::encode(&loads[..1], &host, call.stop_at - now) {
-                        calls.push(Call { bytes, ..call });
+                    let (endpoint, zone, request) = (call.endpoint.clone(), call.zone.clone(), Vec::new());
+                    not_made.push(Call { endpoint, zone, webhooks: rest, request, ..call });
+                    if let Some(request) = endpoints::encode(&loads[..1], &host, call.give_up_at - now) {
+                        calls.push(Call { request, ..call });
                     }
                 }
                 None => not_made.push(call),
@@ -617,30 +618,45 @@
     }
 
     /// A call is about to be written, which may be long after it was decided: its connection had to come up.
-    pub fn going_out(&mut self, now: f64, call: &mut Call) -> GoAhead {
+    pub fn prepare_write(&mut self, now: f64, call: &mut Call) -> WriteDecision {
         let held = now - call.decided_at;
-        if now >= call.stop_at {
-            let (ep, count) = (&call.ep, call.webhooks.len());
+        if now >= call.give_up_at {
+            let (ep, count) = (&call.endpoint, call.webhooks.len());
             self.counters.count(Transition::HeldBack);
             info!(code = "not-sent", ep, count, held, "its connection came up when its time was over");
-            return GoAhead::NotNow;
+            return WriteDecision::HoldBack;
         }
         for CalledWebhook { number, id, .. } in &call.webhooks {
-            if let Some(why) = self.sender.not_sent_reason(now, *number, &call.ep) {
-                info!(code = "not-sent", id, ep = call.ep, held, ?why, "its connection came up too late");
+            if let Some(why) = self.sender.not_sent_reason(now, *number, &call.endpoint) {
+                info!(
+                    code = "not-sent",
+                    id,
+                    ep = call.endpoint,
+                    held,
+                    ?why,
+                    "its connection came up too late"
+                );
                 self.counters.count(Transition::HeldBack);
-                return GoAhead::NotNow;
+                return WriteDecision::HoldBack;
             }
         }
         for webhook in &mut call.webhooks {
             let CalledWebhook { number, id, attempt } = webhook;
-            debug!(code = "out", id, number, ep = call.ep, zone = call.zone, held, "an attempt goes out");
+            debug!(
+                code = "out",
+                id,
+                number,
+                ep = call.endpoint,
+                zone = call.zone,
+                held,
+                "an attempt goes out"
+            );
             // A repeat is rare, and what on-call looks for first where an effect came twice.
             let tries = self.journal.tries(*number);
             self.counters.count(Transition::Out);
             if tries.ran.is_some() || tries.out.is_some() {
                 self.counters.count(Transition::Repeated);
-                let (ep, zone, first) = (&call.ep, &call.zone, told(&tries, now));
+                let (ep, zone, first) = (&call.endpoint, &call.zone, told(&tries, now));
                 info!(
                     code = "repeat",
                     id,
@@ -655,23 +671,23 @@
                 Ok(recorded) => *attempt = recorded,
                 Err(e) => {
                     error!(code = "journal-write", %e, "an attempt could not be written down and is not made");
-                    return GoAhead::NoRoom;
+                    return WriteDecision::JournalFailed;
                 }
             }
         }
         let until = call.webhooks.iter().map(|webhook| self.sender.write_deadline(webhook.number));
-        call.write_by = until.fold(call.stop_at, f64::min);
-        GoAhead::Yes
+        call.write_deadline = until.fold(call.give_up_at, f64::min);
+        WriteDecision::Write
     }
 
-    pub fn actions(&mut self) -> Vec<Action> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.asked.actions)
     }
 
-    pub fn notice(&mut self, host: &SocketAddr) -> Vec<u8> {
+    pub fn next_notice(&mut self, host: &SocketAddr) -> Vec<u8> {
         let Bridge { notices, journal, .. } = self;
         let mut ids = Vec::new();
-        let call = notices.call(host, |number| {
+        let call = notices.next_request(host, |number| {
             let (id, end) = journal.owed(number)?;
             ids.push(id.clone());
             Some((id, end))
@@ -680,7 +696,7 @@
         call
     }
 
-    pub fn told(&mut self, numbers: &[u64]) {
+    pub fn notices_acknowledged(&mut self, numbers: &[u64]) {
         debug!(code = "told", count = numbers.len(), "final answers are acknowledged");
         for number in numbers {
             if let Err(e) = self.journal.told(*number) {
--- a/crates/sender/src/clock.rs
+++ b/crates/sender/src/clock.rs
@@ -109,7 +109,7 @@
 
 impl Clock {
     /// The clock on a timeline that goes on now.
-    pub fn on(timeline: Timeline) -> Clock {
+    pub fn with_timeline(timeline: Timeline) -> Clock {
         Clock(timeline)
     }
 
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -14,7 +14,7 @@
 use crate::bridge::Bridge;
 use crate::clock::{BootReading, Clock};
 use crate::config::Config;
-use crate::endpoints::{Call, Pool};
+use crate::endpoints::{Call, ConnectionPool};
 use crate::journal::Journal;
 use crate::list::List;
 use budgets::{max_buffered, max_connections};
@@ -62,7 +62,7 @@
     max_endpoints: usize,
     max_buffered: usize,
     bridge: Bridge,
-    pool: Pool,
+    pool: ConnectionPool,
     /// The connection that carries a webhook's call.
     calls: BTreeMap<u64, usize>,
     /// Calls that ended before they began; told in the next turn.
@@ -93,7 +93,7 @@
     let named = |name: String| move |e: io::Error| io::Error::new(e.kind(), format!("{name}: {e}"));
     let (journal, dropped) =
         Journal::open(state, most, &BootReading::now()).map_err(named(state.display().to_string()))?;
-    let clock = Clock::on(journal.timeline());
+    let clock = Clock::with_timeline(journal.timeline());
     let now = clock.now();
     if dropped > 0 {
         warn!(
@@ -135,7 +135,7 @@
         max_endpoints,
         max_buffered,
         bridge,
-        pool: Pool::default(),
+        pool: ConnectionPool::default(),
         calls: BTreeMap::new(),
         failed: Vec::new(),
         discovery,
--- a/crates/sender/src/driver/connection.rs
+++ b/crates/sender/src/driver/connection.rs
@@ -159,7 +159,7 @@
                 self.client_count -= 1;
                 self.accept_again |= self.accept_waits;
                 if let Some(number) = client.unacknowledged {
-                    self.bridge.withdrawn(self.now, number);
+                    self.bridge.withdraw(self.now, number);
                 }
             }
             Peer::Endpoint(endpoint) => {
--- a/crates/sender/src/driver/endpoints.rs
+++ b/crates/sender/src/driver/endpoints.rs
@@ -3,8 +3,8 @@
 use super::budgets::SMALL_BUFFER;
 use super::connection::{Connection, Peer, ReadResult, Reason, nothing_to_read};
 use super::{Driver, READS_PER_TURN};
-use crate::bridge::GoAhead;
-use crate::endpoints::{self, Answer, Call, Ending, EndpointConnection};
+use crate::bridge::WriteDecision;
+use crate::endpoints::{self, AttemptResult, Call, EndpointConnection, ResponseHead};
 use crate::http::DecodeError;
 use scalebarrow::Outcome;
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 impl Driver {
     /// Sends a call over an idle connection, or over a new one where room allows it.
     pub(super) fn start_call(&mut self, call: Call) {
-        while let Some(id) = self.pool.take(&call.ep) {
+        while let Some(id) = self.pool.take(&call.endpoint) {
             let Some(connection) = self.connections.get_mut(&id) else { continue };
             // Closed by the other side, or about to be: what is written to it would be lost.
             if connection.deadline <= self.now || !nothing_to_read(&connection.stream) {
@@ -38,13 +38,13 @@
         if self.endpoint_count >= self.max_endpoints {
             return self.failed.push((call, Outcome::Moot(true)));
         }
-        let Some(dial) = self.bridge.dial(&call.ep) else {
+        let Some(dial) = self.bridge.endpoint_address(&call.endpoint) else {
             return self.failed.push((call, Outcome::ConnectFailed));
         };
         let (_, connects_in) = self.bridge.config().connection_times();
-        let by = call.stop_at.min(self.now + connects_in);
-        debug!(code = "connecting", ep = call.ep, "a connection is opened");
-        match self.connect(dial, Peer::Endpoint(EndpointConnection::new(call.ep.clone()))) {
+        let by = call.give_up_at.min(self.now + connects_in);
+        debug!(code = "connecting", ep = call.endpoint, "a connection is opened");
+        match self.connect(dial, Peer::Endpoint(EndpointConnection::new(call.endpoint.clone()))) {
             Ok(id) => {
                 self.calls.extend(call.webhooks.iter().map(|w| (w.number, id)));
                 if let Some(Connection { peer: Peer::Endpoint(endpoint), .. }) = self.connections.get_mut(&id)
@@ -58,7 +58,7 @@
                 self.failed.push((call, Outcome::ConnectFailed))
             }
             Err(e) => {
-                warn!(code = "connect", ep = call.ep, %e, "no connection can be opened");
+                warn!(code = "connect", ep = call.endpoint, %e, "no connection can be opened");
                 self.failed.push((call, Outcome::Moot(true)));
             }
         }
@@ -71,21 +71,22 @@
         let Some(call) = &mut endpoint.call else { return };
         // As of this moment, not of the turn's beginning: the time for a repeat may be over by now. An endpoint that
         // moved while its connection came up is somebody else's.
-        let (now, there) = (self.clock.now(), self.bridge.dial(&endpoint.name) == Some(connection.addr));
-        let go_ahead = if there { self.bridge.going_out(now, call) } else { GoAhead::NotNow };
-        if go_ahead != GoAhead::Yes {
+        let (now, there) =
+            (self.clock.now(), self.bridge.endpoint_address(&endpoint.name) == Some(connection.addr));
+        let go_ahead = if there { self.bridge.prepare_write(now, call) } else { WriteDecision::HoldBack };
+        if go_ahead != WriteDecision::Write {
             let call = endpoint.call.take();
             for webhook in call.iter().flat_map(|c| &c.webhooks) {
                 self.calls.remove(&webhook.number);
             }
             self.failed.extend(call.map(|c| (c, Outcome::Moot(true))));
             // The connection itself is as good as any.
-            let stays = go_ahead == GoAhead::NotNow;
+            let stays = go_ahead == WriteDecision::HoldBack;
             return if stays { self.return_to_pool(id) } else { self.close(id, Reason::NoRoom) };
         }
-        connection.out = std::mem::take(&mut call.bytes);
+        connection.out = std::mem::take(&mut call.request);
         self.calls.extend(call.webhooks.iter().map(|w| (w.number, id)));
-        let write_by = call.write_by;
+        let write_by = call.write_deadline;
         self.set_deadline(id, write_by);
         self.endpoint_ready(id);
     }
@@ -94,7 +95,7 @@
     fn return_to_pool(&mut self, id: usize) {
         let ep = endpoint_name(&self.connections, id);
         // Its endpoint left the list, or moved, while the call was out.
-        if self.bridge.dial(&ep) != self.connections.get(&id).map(|connection| connection.addr) {
+        if self.bridge.endpoint_address(&ep) != self.connections.get(&id).map(|connection| connection.addr) {
             return self.close(id, Reason::Idle);
         }
         self.pool.put(&ep, id);
@@ -105,7 +106,7 @@
     /// When the last byte of a call has to be written that is not written as a whole yet.
     fn write_by(&self, id: usize) -> Option<f64> {
         let Peer::Endpoint(endpoint) = &self.connections.get(&id)?.peer else { return None };
-        endpoint.call.as_ref().filter(|call| !call.written).map(|call| call.write_by)
+        endpoint.call.as_ref().filter(|call| !call.written).map(|call| call.write_deadline)
     }
 
     /// The call is written: its answer has time until it is given up.
@@ -113,7 +114,7 @@
         let Some(Connection { peer: Peer::Endpoint(endpoint), .. }) = self.connections.get(&id) else {
             return;
         };
-        if let Some(stop_at) = endpoint.call.as_ref().map(|call| call.stop_at) {
+        if let Some(stop_at) = endpoint.call.as_ref().map(|call| call.give_up_at) {
             self.set_deadline(id, stop_at);
         }
     }
@@ -170,7 +171,7 @@
                 let Some(call) = endpoint.call.take() else { return self.close(id, Reason::Unasked) };
                 let stays = end.is_none() && answer.keep && call.written && endpoint.decoder.is_clear();
                 let ids: Vec<&str> = call.webhooks.iter().map(|w| w.id.as_str()).collect();
-                let endings = endpoints::endings(&answer, &ids);
+                let endings = endpoints::attempt_results(&answer, &ids);
                 let garbage = endings.is_none();
                 let endings = endings.unwrap_or_else(|| vec![Outcome::Reset.into(); ids.len()]);
                 self.call_ended(&call, &endings, &answer.head);
@@ -198,18 +199,18 @@
         if let Some(Connection { peer: Peer::Endpoint(endpoint), .. }) = self.connections.get_mut(&id)
             && let Some(call) = endpoint.call.take()
         {
-            let (endings, answer) = endpoint.cut_short(&call, otherwise);
+            let (endings, answer) = endpoint.results_when_cut_short(&call, otherwise);
             self.call_ended(&call, &endings, &answer);
         }
         self.close(id, reason);
     }
 
     /// Tells how a call ended.
-    fn call_ended(&mut self, call: &Call, endings: &[Ending], answer: &Answer) {
+    fn call_ended(&mut self, call: &Call, endings: &[AttemptResult], answer: &ResponseHead) {
         for webhook in &call.webhooks {
             self.calls.remove(&webhook.number);
         }
-        self.bridge.ended(self.now, call, endings, answer);
+        self.bridge.call_ended(self.now, call, endings, answer);
     }
 }
 
--- a/crates/sender/src/driver/event_loop.rs
+++ b/crates/sender/src/driver/event_loop.rs
@@ -4,7 +4,7 @@
 use super::timers::{Timer, micros};
 use super::{Driver, LISTENER, RELOAD_SIGNALS, SHUTDOWN_SIGNALS};
 use crate::bridge::Action;
-use crate::endpoints::{Answer, Ending};
+use crate::endpoints::{AttemptResult, ResponseHead};
 use mio::{Events, Token};
 use scalebarrow::Outcome;
 use std::cmp::Reverse;
@@ -29,8 +29,8 @@
             }
             self.now = self.clock.now();
             for (call, outcome) in std::mem::take(&mut self.failed) {
-                let endings = vec![Ending::from(outcome); call.webhooks.len()];
-                self.bridge.ended(self.now, &call, &endings, &Answer::default());
+                let endings = vec![AttemptResult::from(outcome); call.webhooks.len()];
+                self.bridge.call_ended(self.now, &call, &endings, &ResponseHead::default());
             }
             let again = std::mem::take(&mut self.ready_again);
             let mut accept = std::mem::take(&mut self.accept_again);
@@ -52,23 +52,23 @@
             if self.expire_timers() {
                 return Ok(());
             }
-            self.bridge.step(self.now);
+            self.bridge.run_maintenance(self.now);
             self.end_turn();
         }
     }
 
     /// Does what the module asked for in this turn.
     fn end_turn(&mut self) {
-        for action in self.bridge.actions() {
+        for action in self.bridge.take_actions() {
             match action {
-                Action::Wake(after) => self.set_timer(self.now + after, Timer::Wake),
-                Action::Watch(on) => self.list_wanted = on,
-                Action::CloseIdle(ep) => {
+                Action::WakeAfter(after) => self.set_timer(self.now + after, Timer::Wake),
+                Action::WatchList(on) => self.list_wanted = on,
+                Action::CloseIdleConnections(ep) => {
                     for id in self.pool.take_all(&ep) {
                         self.close(id, Reason::Idle);
                     }
                 }
-                Action::CallOff(number) => {
+                Action::CancelAttempt(number) => {
                     // An answer that has come already counts.
                     let id = self.calls.get(&number).copied();
                     if let Some(id) =
@@ -85,12 +85,12 @@
         if self.list_wanted && self.list_connection.is_none() {
             self.open_list();
         }
-        let (calls, not_made) = self.bridge.calls(self.now);
+        let (calls, not_made) = self.bridge.take_calls(self.now);
         self.failed.extend(not_made.into_iter().map(|call| (call, Outcome::Moot(true))));
         for call in calls {
             self.start_call(call);
         }
-        if self.bridge.notices.waiting() && self.now >= self.notice_at {
+        if self.bridge.notices.can_send() && self.now >= self.notice_at {
             self.send_notice();
         }
     }
--- a/crates/sender/src/driver/list.rs
+++ b/crates/sender/src/driver/list.rs
@@ -45,7 +45,7 @@
             match self.list.feed(&self.read_buffer[..count]) {
                 Ok(None) => {}
                 Ok(Some((news, keep))) => {
-                    self.bridge.list(self.now, &news, false);
+                    self.bridge.update_list(self.now, &news, false);
                     if !keep {
                         self.close(id, Reason::Answered);
                         return self.open_list();
@@ -75,7 +75,7 @@
         }
         self.list_wanted = false;
         if self.bridge.config().asks() {
-            self.bridge.no_list(self.now);
+            self.bridge.list_unavailable(self.now);
         } else {
             self.set_timer(self.now + LIST_RETRY_PAUSE, Timer::List);
         }
--- a/crates/sender/src/driver/notices.rs
+++ b/crates/sender/src/driver/notices.rs
@@ -19,11 +19,11 @@
         };
         let Ok(id) = id else { return self.notices_failed(Reason::NotUp) };
         self.notice_connection = Some(id);
-        let call = self.bridge.notice(&self.discovery);
+        let call = self.bridge.next_notice(&self.discovery);
         if let Some(connection) = self.connections.get_mut(&id) {
             (connection.out, connection.sent) = (call, 0);
             let up = connection.up;
-            self.set_deadline(id, self.now + notices::PATIENCE);
+            self.set_deadline(id, self.now + notices::ACK_TIMEOUT_SECS);
             if up {
                 self.notices_ready(id);
             }
@@ -41,7 +41,7 @@
             ReadResult::Bytes(count) => match self.bridge.notices.feed(&self.read_buffer[..count]) {
                 Ok(None) => _ = self.ready_again.insert(id),
                 Ok(Some((acknowledged, keep))) => {
-                    self.bridge.told(&acknowledged);
+                    self.bridge.notices_acknowledged(&acknowledged);
                     self.set_deadline(id, f64::INFINITY);
                     if !keep {
                         self.close(id, Reason::Answered);
@@ -57,8 +57,8 @@
         if let Some(id) = self.notice_connection {
             self.close(id, reason);
         }
-        self.bridge.notices.broken();
-        self.notice_at = self.now + notices::PAUSE;
+        self.bridge.notices.connection_lost();
+        self.notice_at = self.now + notices::RETRY_DELAY_SECS;
         self.set_timer(self.notice_at, Timer::Notices);
     }
 }
--- a/crates/sender/src/driver/signals.rs
+++ b/crates/sender/src/driver/signals.rs
@@ -37,7 +37,7 @@
         let end = self.now + SHUTDOWN_TIMEOUT;
         self.closing = Some(end);
         info!(code = "closing", "no further use of connections");
-        self.bridge.closing(self.now, end);
+        self.bridge.begin_shutdown(self.now, end);
         self.set_timer(self.now + SHUTDOWN_MIN, Timer::Exit);
         let clients = self.connections.iter_mut().filter_map(|(id, connection)| match &mut connection.peer {
             Peer::Client(client) => {
@@ -92,7 +92,7 @@
         self.max_buffered = max_buffered(&config.limits);
         let moved = std::mem::replace(&mut self.discovery, config.discovery) != config.discovery;
         info!(code = "config-read", discovery = %config.discovery, moved, "the configuration was read again");
-        self.bridge.reread(config);
+        self.bridge.apply_config(config);
         if moved {
             // Both are taken up again at the new address when the turn ends, whatever pause the old one was given.
             self.list.moved();
@@ -100,7 +100,7 @@
             if let Some(id) = self.list_connection {
                 self.close(id, Reason::Moved);
             }
-            self.bridge.notices.broken();
+            self.bridge.notices.connection_lost();
             self.notice_at = self.now;
             if let Some(id) = self.notice_connection {
                 self.close(id, Reason::Moved);
--- a/crates/sender/src/driver/timers.rs
+++ b/crates/sender/src/driver/timers.rs
@@ -61,7 +61,7 @@
                     }
                 }
                 Timer::Accept => self.accept_again = true,
-                Timer::Wake => self.bridge.woken(self.now),
+                Timer::Wake => self.bridge.wake(self.now),
                 Timer::List => self.list_wanted = true,
                 // Looked at when the turn ends.
                 Timer::Notices => {}
--- a/crates/sender/src/endpoints.rs
+++ b/crates/sender/src/endpoints.rs
@@ -42,55 +42,55 @@
 
 /// The head of an answer.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Answer {
+pub struct ResponseHead {
     /// The status code.
     pub status: u16,
     /// Seconds to wait before the destination, or the route, is called again.
-    pub wait: f64,
+    pub retry_after: f64,
     no_slot: bool,
     /// Share of the limit that is left, and the limit in calls a second, where the answer tells them.
-    pub report: Option<(f64, f64)>,
+    pub limit_report: Option<(f64, f64)>,
 }
 
-impl Head for Answer {
+impl Head for ResponseHead {
     fn decode(start: &Start, fields: &Fields) -> Self {
         let status = if let Start::Answer { status } = start { *status } else { 0 };
-        let wait = fields.get("Retry-After").and_then(decode_number).unwrap_or(0.0);
+        let retry_after = fields.get("Retry-After").and_then(decode_number).unwrap_or(0.0);
         let no_slot = fields.get("X-Over-Slots") == Some("1");
         let load = fields.get("Srv-Load").and_then(|l| l.strip_prefix("TEXT"));
         let value = |name: &str| {
             let mut parts = load?.split(',').filter_map(|p| p.trim().split_once('='));
             parts.find(|(n, _)| *n == name).and_then(|(_, v)| decode_number(v))
         };
-        Answer { status, wait, no_slot, report: value("x0").zip(value("x1")) }
+        ResponseHead { status, retry_after, no_slot, limit_report: value("x0").zip(value("x1")) }
     }
 }
 
 /// How a call ended for one webhook; `over` where nothing more is owed for it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Ending {
+pub struct AttemptResult {
     /// What became of the attempt.
     pub outcome: Outcome,
     /// Nothing more is owed: no further attempt is made.
-    pub over: bool,
+    pub is_final: bool,
 }
 
-impl From<Outcome> for Ending {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        Ending { outcome, over: outcome == Outcome::Delivered }
+        AttemptResult { outcome, is_final: outcome == Outcome::Delivered }
     }
 }
 
-impl Answer {
+impl ResponseHead {
     /// What the status says of a webhook that went alone, or of all in a call that fared alike.
-    fn ending(&self, alone: bool) -> Ending {
+    fn ending(&self, alone: bool) -> AttemptResult {
         let outcome = match self.status {
             200 => Outcome::Delivered,
-            429 => Outcome::Full(self.wait),
+            429 => Outcome::Full(self.retry_after),
             503 if self.no_slot => Outcome::Moot(true),
-            503 => Outcome::Full(self.wait),
+            503 => Outcome::Full(self.retry_after),
             504 => Outcome::Moot(false),
-            410 => return Ending { outcome: Outcome::Moot(false), over: true },
+            410 => return AttemptResult { outcome: Outcome::Moot(false), is_final: true },
             // Of a call of several that cannot be read, or holds too many, none has run.
             400 | 413 if !alone => Outcome::Moot(false),
             _ => Outcome::Failed,
@@ -100,7 +100,7 @@
 }
 
 /// The endings of a call's webhooks, in their order; nothing where the answer is garbage.
-pub fn endings(answer: &Message<Answer>, ids: &[&str]) -> Option<Vec<Ending>> {
+pub fn attempt_results(answer: &Message<ResponseHead>, ids: &[&str]) -> Option<Vec<AttemptResult>> {
     if ids.len() == 1 || answer.head.status != 200 {
         return Some(vec![answer.head.ending(ids.len() == 1); ids.len()]);
     }
@@ -111,8 +111,8 @@
         let ending = match word.trim() {
             "ok" => Outcome::Delivered.into(),
             "error" => Outcome::Failed.into(),
-            "later" => Outcome::Full(answer.head.wait).into(),
-            "gone" => Ending { outcome: Outcome::Moot(false), over: true },
+            "later" => Outcome::Full(answer.head.retry_after).into(),
+            "gone" => AttemptResult { outcome: Outcome::Moot(false), is_final: true },
             "exhausted" => Outcome::Moot(false).into(),
             _ => return None,
         };
@@ -144,7 +144,7 @@
 #[derive(Debug)]
 pub struct Call {
     /// The endpoint's name in the list.
-    pub ep: String,
+    pub endpoint: String,
     /// The endpoint's zone.
     pub zone: String,
     /// The webhooks in it.
@@ -152,11 +152,11 @@
     /// When it was decided.
     pub decided_at: f64,
     /// When it is given up.
-    pub stop_at: f64,
+    pub give_up_at: f64,
     /// Its last byte is written by then, or it is given up before.
-    pub write_by: f64,
+    pub write_deadline: f64,
     /// The request as it is written; empty once it is on its connection.
-    pub bytes: Vec<u8>,
+    pub request: Vec<u8>,
     /// The last byte is written: from then on a webhook may run.
     pub written: bool,
 }
@@ -169,7 +169,7 @@
     /// The call that waits for the connection, or is out on it.
     pub call: Option<Call>,
     /// Reads the answers.
-    pub decoder: Decoder<Answer>,
+    pub decoder: Decoder<ResponseHead>,
 }
 
 impl EndpointConnection {
@@ -179,12 +179,14 @@
     }
 
     /// How the call ended when the connection broke, or the sender stopped waiting (`otherwise`).
-    pub fn cut_short(&mut self, call: &Call, otherwise: Outcome) -> (Vec<Ending>, Answer) {
+    pub fn results_when_cut_short(
+        &mut self, call: &Call, otherwise: Outcome,
+    ) -> (Vec<AttemptResult>, ResponseHead) {
         let count = call.webhooks.len();
         if let Some(answer) = self.decoder.ended() {
             let ids: Vec<&str> = call.webhooks.iter().map(|w| w.id.as_str()).collect();
             let garbage = || vec![Outcome::Reset.into(); count];
-            return (endings(&answer, &ids).unwrap_or_else(garbage), answer.head);
+            return (attempt_results(&answer, &ids).unwrap_or_else(garbage), answer.head);
         }
         // Of a spoilt answer only a first line with 200 is true, where one webhook went alone. Any other, also one that
         // seems to say that nothing has run, stands for a call that may have run once it was written.
@@ -194,15 +196,15 @@
             _ if call.written => otherwise,
             _ => Outcome::ConnectFailed,
         };
-        (vec![outcome.into(); count], Answer::default())
+        (vec![outcome.into(); count], ResponseHead::default())
     }
 }
 
 /// Idle connections by endpoint, the last used at the end.
 #[derive(Debug, Default)]
-pub struct Pool(BTreeMap<String, Vec<usize>>);
+pub struct ConnectionPool(BTreeMap<String, Vec<usize>>);
 
-impl Pool {
+impl ConnectionPool {
     /// Takes in a connection that carries nothing.
     pub fn put(&mut self, endpoint: &str, connection: usize) {
         self.0.entry(endpoint.to_owned()).or_default().push(connection);
--- a/crates/sender/src/endpoints/tests.rs
+++ b/crates/sender/src/endpoints/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::http::DecodeError;
 
-fn answer(bytes: &str) -> Result<Option<Message<Answer>>, DecodeError> {
+fn answer(bytes: &str) -> Result<Option<Message<ResponseHead>>, DecodeError> {
     let mut decoder = Decoder::answers(MOST_ANSWER);
     decoder.feed(bytes.as_bytes());
     decoder.message()
@@ -9,12 +9,12 @@
 
 #[test]
 fn what_answers_mean() {
-    let over = Ending { outcome: Outcome::Moot(false), over: true };
-    let (ok, full): (Ending, fn(f64) -> Ending) =
+    let over = AttemptResult { outcome: Outcome::Moot(false), is_final: true };
+    let (ok, full): (AttemptResult, fn(f64) -> AttemptResult) =
         (Outcome::Delivered.into(), |wait| Outcome::Full(wait).into());
-    let failed: Ending = Outcome::Failed.into();
+    let failed: AttemptResult = Outcome::Failed.into();
     /// Status, header lines, body, ids of the webhooks, their endings.
-    type Case<'a> = (&'a str, &'a str, &'a str, &'a [&'a str], Option<Vec<Ending>>);
+    type Case<'a> = (&'a str, &'a str, &'a str, &'a [&'a str], Option<Vec<AttemptResult>>);
     let cases: [Case; 15] = [
         ("200 OK", "", "any", &["a"], Some(vec![ok])),
         ("500 No", "", "", &["a"], Some(vec![failed])),
@@ -35,7 +35,7 @@
     for (status, fields, body, ids, wanted) in cases {
         let size = body.len();
         let text = format!("HTTP/1.1 {status}\r\n{fields}Content-Length: {size}\r\n\r\n{body}");
-        let found = endings(&answer(&text).unwrap().unwrap(), ids);
+        let found = attempt_results(&answer(&text).unwrap().unwrap(), ids);
         assert_eq!(found, wanted, "{text}");
     }
 }
@@ -54,7 +54,7 @@
         ("", None),
     ] {
         let text = format!("HTTP/1.1 200 OK\r\n{field}Content-Length: 0\r\n\r\n");
-        assert_eq!(answer(&text).unwrap().unwrap().head.report, report, "{field}");
+        assert_eq!(answer(&text).unwrap().unwrap().head.limit_report, report, "{field}");
     }
 }
 
@@ -84,21 +84,21 @@
     ] {
         let webhooks: Vec<_> =
             ["a", "b"][..count].iter().map(|id| CalledWebhook::new(1, id.to_string())).collect();
-        let (ep, zone, bytes) = (String::from("e"), String::new(), Vec::new());
+        let (endpoint, zone, request) = (String::from("e"), String::new(), Vec::new());
         let call = Call {
-            ep: ep.clone(),
+            endpoint: endpoint.clone(),
             zone,
             webhooks,
             decided_at: 0.0,
-            stop_at: 1.0,
-            write_by: 1.0,
-            bytes,
+            give_up_at: 1.0,
+            write_deadline: 1.0,
+            request,
             written,
         };
-        let mut connection = EndpointConnection::new(ep);
+        let mut connection = EndpointConnection::new(endpoint);
         connection.decoder.feed(came.as_bytes());
         let _ = connection.decoder.message();
-        let (found, _) = connection.cut_short(&call, Outcome::Reset);
-        assert_eq!(found, vec![Ending::from(wanted); count], "{came:?} {written}");
+        let (found, _) = connection.results_when_cut_short(&call, Outcome::Reset);
+        assert_eq!(found, vec![AttemptResult::from(wanted); count], "{came:?} {written}");
     }
 }
--- a/crates/sender/src/notices.rs
+++ b/crates/sender/src/notices.rs
@@ -11,10 +11,10 @@
 const MOST_ANSWER: usize = 4096;
 /// The platform answers at once, and a final answer may come 0.3 s late: one that is sent when the time is up, behind
 /// a notice that gets lost on its way, and on a connection that has to be opened anew, still comes in time.
-pub const PATIENCE: f64 = 0.15;
+pub const ACK_TIMEOUT_SECS: f64 = 0.15;
 /// Between two tries of a notice that was not taken.
-pub const PAUSE: f64 = 0.05;
-const _: () = assert!(PATIENCE + PAUSE < 0.25);
+pub const RETRY_DELAY_SECS: f64 = 0.05;
+const _: () = assert!(ACK_TIMEOUT_SECS + RETRY_DELAY_SECS < 0.25);
 
 #[derive(Serialize)]
 struct Line<'a> {
@@ -57,7 +57,7 @@
     }
 
     /// Something is due and nothing is out.
-    pub fn waiting(&self) -> bool {
+    pub fn can_send(&self) -> bool {
         self.out.is_empty() && !self.due.is_empty()
     }
 
@@ -67,7 +67,9 @@
     }
 
     /// The next call. `end` tells the id and the final answer of a webhook.
-    pub fn call(&mut self, host: &SocketAddr, mut end: impl FnMut(u64) -> Option<(String, End)>) -> Vec<u8> {
+    pub fn next_request(
+        &mut self, host: &SocketAddr, mut end: impl FnMut(u64) -> Option<(String, End)>,
+    ) -> Vec<u8> {
         let most = if self.singly { 1 } else { MOST_LINES };
         let mut body = Vec::new();
         while self.out.len() < most
@@ -108,7 +110,7 @@
     }
 
     /// The connection is gone: what was out is due again, behind the rest.
-    pub fn broken(&mut self) {
+    pub fn connection_lost(&mut self) {
         self.decoder = Decoder::answers(MOST_ANSWER);
         self.due.extend(self.out.drain(..));
     }
--- a/crates/sender/tests/bridge.rs
+++ b/crates/sender/tests/bridge.rs
@@ -39,7 +39,7 @@
 
 /// The ids of the calls that the module asks for.
 fn calls(bridge: &mut Bridge, now: f64) -> Vec<String> {
-    bridge.calls(now).0.into_iter().map(|call| call.webhooks[0].id.clone()).collect()
+    bridge.take_calls(now).0.into_iter().map(|call| call.webhooks[0].id.clone()).collect()
 }
 
 /// What waits in the folder: 350, of keys that come round, the last with little time.
@@ -59,14 +59,14 @@
     let mut bridge = open(&folder, 101.0);
     assert!(bridge.has_work() && !bridge.is_idle());
     assert!(calls(&mut bridge, 101.0).is_empty());
-    bridge.step(101.0);
+    bridge.run_maintenance(101.0);
     let first = calls(&mut bridge, 101.0);
     assert!(!first.is_empty() && first.iter().all(|id| id[4..].parse::<u32>().unwrap() < 100), "{first:?}");
     let mut steps = 1;
     while bridge.has_work() {
-        bridge.step(101.0);
+        bridge.run_maintenance(101.0);
         calls(&mut bridge, 101.0);
-        bridge.actions();
+        bridge.take_actions();
         steps += 1;
     }
     assert_eq!(steps, 4);
@@ -90,9 +90,9 @@
     let folder = folder("over");
     fill(&folder);
     let mut bridge = open(&folder, 106.0);
-    assert!(!bridge.notices.waiting());
-    bridge.step(106.0);
-    let notice = bridge.notice(&"127.0.0.1:2".parse().unwrap());
+    assert!(!bridge.notices.can_send());
+    bridge.run_maintenance(106.0);
+    let notice = bridge.next_notice(&"127.0.0.1:2".parse().unwrap());
     let notice = String::from_utf8(notice).unwrap();
     assert!(notice.contains("old-349") && notice.matches("\"id\"").count() == 1, "{notice}");
 }
@@ -109,17 +109,17 @@
     let mut sent = Vec::new();
     for turn in 0..3000 {
         let now = 101.0 + f64::from(turn) * 0.01;
-        bridge.step(now);
-        bridge.actions();
-        bridge.woken(now);
-        let (calls, _) = bridge.calls(now);
+        bridge.run_maintenance(now);
+        bridge.take_actions();
+        bridge.wake(now);
+        let (calls, _) = bridge.take_calls(now);
         for call in calls {
             sent.push(call.webhooks[0].id.clone());
-            let delivered = scalebarrow_sender::endpoints::Ending {
+            let delivered = scalebarrow_sender::endpoints::AttemptResult {
                 outcome: scalebarrow::Outcome::Delivered,
-                over: true,
+                is_final: true,
             };
-            bridge.ended(now, &call, &[delivered], &Default::default());
+            bridge.call_ended(now, &call, &[delivered], &Default::default());
         }
     }
     let of_key = |id: &&String| id.ends_with("-47") || id[4..].parse::<u32>().is_ok_and(|n| n % 50 == 47);
@@ -150,7 +150,7 @@
     let from = HandIn { id, event_type, dest: 1, order_key, customer: None, token: None, left: 50.0 };
     let (reply, number) = bridge.hand_in(101.0, from, Vec::new());
     assert_eq!(reply, Reply::Taken);
-    bridge.withdrawn(101.0, number.unwrap());
+    bridge.withdraw(101.0, number.unwrap());
     drop(bridge);
     assert_eq!(Journal::open(&folder, LIMIT, &BootReading::now()).unwrap().0.open_count(), 350);
 }
