--- a/crates/sender/src/endpoints/tests.rs
+++ b/crates/sender/src/endpoints/tests.rs
@@ -2,9 +2,9 @@
 use crate::http::DecodeError;
 
 fn answer(bytes: &str) -> Result<Option<Message<ResponseHead>>, DecodeError> {
-    let mut decoder = Decoder::answers(MOST_ANSWER);
+    let mut decoder = Decoder::for_responses(MOST_ANSWER);
     decoder.feed(bytes.as_bytes());
-    decoder.message()
+    decoder.next_message()
 }
 
 #[test]
@@ -84,20 +84,20 @@
     ] {
         let webhooks: Vec<_> =
             ["a", "b"][..count].iter().map(|id| CalledWebhook::new(1, id.to_string())).collect();
-        let (endpoint, zone, request) = (String::from("e"), String::new(), Vec::new());
+        let (ep, zone, bytes) = (String::from("e"), String::new(), Vec::new());
         let call = Call {
-            endpoint: endpoint.clone(),
+            endpoint: ep.clone(),
             zone,
             webhooks,
             decided_at: 0.0,
             give_up_at: 1.0,
             write_deadline: 1.0,
-            request,
+            request: bytes,
             written,
         };
-        let mut connection = EndpointConnection::new(endpoint);
+        let mut connection = EndpointConnection::new(ep);
         connection.decoder.feed(came.as_bytes());
-        let _ = connection.decoder.message();
+        let _ = connection.decoder.next_message();
         let (found, _) = connection.results_when_cut_short(&call, Outcome::Reset);
         assert_eq!(found, vec![AttemptResult::from(wanted); count], "{came:?} {written}");
     }
