--- a/crates/sender/src/endpoints.rs
+++ b/crates/sender/src/endpoints.rs
@@ -55,14 +55,14 @@
 impl MessageHead for ResponseHead {
     fn decode(start: &StartLine, fields: &Headers) -> Self {
         let status = if let StartLine::Response { status } = start { *status } else { 0 };
-        let retry_after = fields.get("Retry-After").and_then(decode_number).unwrap_or(0.0);
+        let wait = fields.get("Retry-After").and_then(decode_number).unwrap_or(0.0);
         let no_slot = fields.get("X-Over-Slots") == Some("1");
         let load = fields.get("Srv-Load").and_then(|l| l.strip_prefix("TEXT"));
         let value = |name: &str| {
             let mut parts = load?.split(',').filter_map(|p| p.trim().split_once('='));
             parts.find(|(n, _)| *n == name).and_then(|(_, v)| decode_number(v))
         };
-        ResponseHead { status, retry_after, no_slot, limit_report: value("x0").zip(value("x1")) }
+        ResponseHead { status, retry_after: wait, no_slot, limit_report: value("x0").zip(value("x1")) }
     }
 }
 
