--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -1,5 +1,5 @@
-//! The event loop with sockets, timers and signals. It reads and writes for the peers' state machines and carries
-//! what they say to the bridge and back.
+//! The event loop over sockets, timers and signals. It does the I/O for the state machines of clients,
+//! endpoints, list and notices, and passes inputs to the bridge and its actions back.
 
 mod budgets;
 mod clients;
@@ -17,7 +17,7 @@
 use crate::endpoints::{Call, ConnectionPool};
 use crate::journal::Journal;
 use crate::list::ListClient;
-use budgets::{max_buffered, max_connections};
+use budgets::{max_buffered_bytes, max_connections};
 use connection::Connection;
 use mio::net::{TcpListener, UnixStream};
 use mio::{Interest, Poll, Token};
@@ -31,126 +31,139 @@
 use timers::Timer;
 use tracing::{info, warn};
 
+/// Poll tokens; connections have the tokens from `FIRST_CONNECTION_ID` on.
 const LISTENER: Token = Token(0);
 const SHUTDOWN_SIGNALS: Token = Token(1);
 const RELOAD_SIGNALS: Token = Token(2);
-const FIRST_CONNECTION: usize = 3;
+const FIRST_CONNECTION_ID: usize = 3;
 
-/// Bytes read from one connection before others have their turn.
-const READ_BUFFER: usize = 64 * 1024;
-const READS_PER_TURN: usize = 4;
-/// Requests answered, or connections accepted, before others have their turn.
-const REQUESTS_PER_TURN: usize = 32;
+/// Bytes of one read at most.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Reads from one connection before other connections are served.
+const READS_PER_ITERATION: usize = 4;
+/// Requests answered on one connection, or connections accepted, before other connections are served.
+const REQUESTS_PER_ITERATION: usize = 32;
 
-/// The sockets, timers and signals of a sender that serves.
+/// The sockets, timers and signals of a running sender. Times are seconds on its clock.
 struct Driver {
     poll: Poll,
     listener: TcpListener,
     shutdown_signals: UnixStream,
     reload_signals: UnixStream,
-    /// The configuration's file.
-    path: PathBuf,
+    /// The path of the configuration file.
+    config_path: PathBuf,
     clock: Clock,
-    /// The time of this turn.
+    /// The time of this iteration of the event loop.
     now: f64,
+    /// Timers by their time in microseconds, the earliest first.
     timers: BinaryHeap<Reverse<(u64, Timer)>>,
     connections: BTreeMap<usize, Connection>,
-    next_connection: usize,
+    next_connection_id: usize,
     client_count: usize,
     endpoint_count: usize,
     max_clients: usize,
     max_endpoints: usize,
-    max_buffered: usize,
+    /// Memory limit for incomplete messages, once for clients and once for endpoints.
+    max_buffered_bytes: usize,
     bridge: Bridge,
+    /// The idle connections to endpoints.
     pool: ConnectionPool,
-    /// The connection that carries a webhook's call.
-    calls: BTreeMap<u64, usize>,
-    /// Calls that ended before they began; told in the next turn.
-    failed: Vec<(Call, Outcome)>,
+    /// The id of the connection that carries a webhook's call, by the webhook's number.
+    call_connections: BTreeMap<u64, usize>,
+    /// Calls that failed before they were sent; the bridge is notified in the next iteration.
+    failed_calls: Vec<(Call, Outcome)>,
+    /// The address of the platform's discovery service, which has the endpoint list and receives notices.
     discovery: SocketAddr,
-    list: ListClient,
+    list_client: ListClient,
+    /// The id of the connection for the list.
     list_connection: Option<usize>,
+    /// The list has to be requested as soon as no list connection is open.
     list_wanted: bool,
+    /// The id of the connection for notices.
     notice_connection: Option<usize>,
-    notice_at: f64,
-    /// Connections with more to read, and whether more may wait to be accepted.
-    ready_again: BTreeSet<usize>,
-    accept_again: bool,
-    /// Until when none is accepted, as the last try found no descriptor.
+    /// No notice is sent before this time.
+    next_notice_at: f64,
+    /// Connections that may have more to read.
+    still_ready: BTreeSet<usize>,
+    /// More connections may be waiting to be accepted.
+    accept_pending: bool,
+    /// No connection is accepted until this time, as the last attempt failed.
     accept_paused_until: f64,
-    /// Connections may wait for another one to end or to be between requests.
-    accept_waits: bool,
-    /// When the process ends, once it was asked to, and whether it still takes webhooks on.
-    closing: Option<f64>,
+    /// Connections may be waiting to be accepted until another one is closed or idle.
+    accept_blocked: bool,
+    /// When the process exits, once a signal has started the shutdown.
+    shutdown_at: Option<f64>,
+    /// Webhooks are still accepted.
     accepts_webhooks: bool,
     read_buffer: Vec<u8>,
 }
 
-/// Serves until SIGTERM.
-pub fn serve(config: Config, path: &Path, state: &Path) -> io::Result<()> {
+/// Runs a sender until SIGTERM or SIGINT. `state_dir` holds the journal.
+pub fn serve(config: Config, config_path: &Path, state_dir: &Path) -> io::Result<()> {
     let mut reload_signals = signal_pipe(&[signal_hook::consts::SIGHUP])?;
-    let most = config.limits.disk_bytes();
-    let named = |name: String| move |e: io::Error| io::Error::new(e.kind(), format!("{name}: {e}"));
-    let (journal, dropped) =
-        Journal::open(state, most, &BootReading::now()).map_err(named(state.display().to_string()))?;
+    let max_journal_bytes = config.limits.disk_bytes();
+    let with_context = |name: String| move |e: io::Error| io::Error::new(e.kind(), format!("{name}: {e}"));
+    let (journal, dropped) = Journal::open(state_dir, max_journal_bytes, &BootReading::now())
+        .map_err(with_context(state_dir.display().to_string()))?;
     let clock = Clock::with_timeline(journal.timeline());
     let now = clock.now();
     if dropped > 0 {
         warn!(
             code = "journal-torn",
-            dropped, "bytes of an unfinished record at the journal's end are dropped"
+            dropped, "dropped the bytes of an incomplete record at the end of the journal"
         );
     }
     let (listen, discovery) = (config.listen, config.discovery);
-    let list = ListClient::new(config.known_list.version, config.pulls_list());
+    let list_client = ListClient::new(config.known_list.version, config.pulls_list());
     let (max_clients, max_endpoints) = max_connections(&config.limits);
-    let max_buffered = max_buffered(&config.limits);
-    let (name, (slots, holds, senders)) = (config.name.clone(), config.capacity());
+    let max_buffered_bytes = max_buffered_bytes(&config.limits);
+    let (name, (slots, max_pending, sender_count)) = (config.name.clone(), config.capacity());
     let list_wanted = !config.pulls_list();
     let bridge = Bridge::open(config, journal, now);
-    // Until here SIGTERM ends the process at once: it has taken nothing on. From here on it ends as planned.
+    // Up to here SIGTERM ends the process at once, as it has not accepted any webhook. From here on it shuts
+    // down gracefully.
     let mut shutdown_signals = signal_pipe(&[signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT])?;
-    // All that was taken on is known again, though the module hears of it only bit by bit: from now on clients can reach
-    // this sender.
-    let mut listener = TcpListener::bind(listen).map_err(named(format!("listen on {listen}")))?;
+    // Clients can connect from here on: the webhooks accepted by an earlier process are known again, although
+    // the decision module receives them only gradually.
+    let mut listener = TcpListener::bind(listen).map_err(with_context(format!("listen on {listen}")))?;
     let poll = Poll::new()?;
     poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
     poll.registry().register(&mut shutdown_signals, SHUTDOWN_SIGNALS, Interest::READABLE)?;
     poll.registry().register(&mut reload_signals, RELOAD_SIGNALS, Interest::READABLE)?;
-    info!(name, %listen, slots, holds, senders, "serving");
+    info!(name, %listen, slots, holds = max_pending, senders = sender_count, "serving");
     let mut driver = Driver {
         poll,
         listener,
         shutdown_signals,
         reload_signals,
-        path: path.to_owned(),
+        config_path: config_path.to_owned(),
         clock,
         now,
         timers: BinaryHeap::new(),
         connections: BTreeMap::new(),
-        next_connection: FIRST_CONNECTION,
+        next_connection_id: FIRST_CONNECTION_ID,
         client_count: 0,
         endpoint_count: 0,
         max_clients,
         max_endpoints,
-        max_buffered,
+        max_buffered_bytes,
         bridge,
         pool: ConnectionPool::default(),
-        calls: BTreeMap::new(),
-        failed: Vec::new(),
+        call_connections: BTreeMap::new(),
+        failed_calls: Vec::new(),
         discovery,
-        list,
+        list_client,
         list_connection: None,
         list_wanted,
         notice_connection: None,
-        notice_at: 0.0,
-        ready_again: BTreeSet::new(),
-        accept_again: false,
+        next_notice_at: 0.0,
+        still_ready: BTreeSet::new(),
+        accept_pending: false,
         accept_paused_until: f64::NEG_INFINITY,
-        accept_waits: false,
-        closing: None,
+        accept_blocked: false,
+        shutdown_at: None,
         accepts_webhooks: true,
-        read_buffer: vec![0; READ_BUFFER],
+        read_buffer: vec![0; READ_BUFFER_BYTES],
     };
     driver.run()
 }
--- a/crates/sender/src/driver/clients.rs
+++ b/crates/sender/src/driver/clients.rs
@@ -1,213 +1,219 @@
-//! Connections of clients: they are accepted, served, and asked to go where room is short.
+//! Clients' connections: accepting them, handling their requests, and closing some when descriptors run
+//! short.
 
-use super::budgets::SMALL_BUFFER;
-use super::connection::{Connection, Peer, ReadResult, Reason, has_ended, nothing_to_read};
+use super::budgets::SMALL_BUFFER_BYTES;
+use super::connection::{CloseReason, Connection, Peer, ReadResult, has_no_input, peer_has_closed};
 use super::timers::Timer;
-use super::{Driver, REQUESTS_PER_TURN};
+use super::{Driver, REQUESTS_PER_ITERATION};
 use crate::clients::{self, Client, Reply, Stage, Step};
 use std::cmp::Ordering::Equal;
 use std::io::ErrorKind;
 use std::net::Shutdown;
 use tracing::warn;
 
-/// A client has so long for one request, the first counted from when it connected, or to take its answer. It is owed
-/// an answer or an end within 3 s.
-pub(super) const REQUEST_TIMEOUT: f64 = 2.0;
-/// A client's connection between requests, which may be closed after 2 s.
-const CLIENT_IDLE_TIMEOUT: f64 = 2.2;
-/// Who connects to ask does so at once; one that has said nothing for so long goes before others.
-pub(super) const SILENT_CLIENT: f64 = 0.25;
-/// A client's connection whose sending side is shut stays open for the client's own end for so long.
-const LINGER_TIMEOUT: f64 = 0.5;
-/// One of so many of the clients' descriptors is kept for those that come while others linger.
-const RESERVED_PART: usize = 8;
-/// Before another try where no connection can be accepted, as when the system is short of descriptors.
-const ACCEPT_RETRY_PAUSE: f64 = 0.1;
+/// Time limit for a client to send one request, the first counted from its connect, or to read a response.
+/// The client must get a response or a close within 3 s.
+pub(super) const REQUEST_TIMEOUT_SECS: f64 = 2.0;
+/// How long a client's connection may be idle between requests. It may be closed after 2 s.
+const CLIENT_IDLE_TIMEOUT_SECS: f64 = 2.2;
+/// Clients normally send a request as soon as they have connected. One that has sent nothing for this long is
+/// closed before others.
+pub(super) const SILENT_CLIENT_SECS: f64 = 0.25;
+/// How long a connection whose sending side was shut down waits for the client to close it.
+const LINGER_TIMEOUT_SECS: f64 = 0.5;
+/// One in this many of the clients' descriptors is reserved for new connections while others are lingering.
+const RESERVED_DIVISOR: usize = 8;
+/// Pause after a failed accept, as when the system is out of descriptors.
+const ACCEPT_RETRY_DELAY_SECS: f64 = 0.1;
 
 impl Driver {
-    /// Accepts the connections that wait, as far as there is room or room can be made.
+    /// Accepts waiting connections as far as the limit allows, evicting others if needed.
     pub(super) fn accept(&mut self) {
         if self.now < self.accept_paused_until {
             return;
         }
-        self.accept_waits = false;
-        for _ in 0..REQUESTS_PER_TURN {
+        self.accept_blocked = false;
+        for _ in 0..REQUESTS_PER_ITERATION {
             if self.client_count >= self.max_clients && !self.close_lingering_client() {
-                self.end_idle_client(true);
+                self.evict_client(true);
                 if !self.close_lingering_client() {
-                    self.accept_waits = true;
+                    self.accept_blocked = true;
                     return;
                 }
             }
             match self.listener.accept() {
                 Ok((stream, addr)) => {
-                    if let Ok(id) = self.add(stream, addr, Peer::Client(Client::new()), true) {
-                        self.set_deadline(id, self.now + REQUEST_TIMEOUT);
+                    if let Ok(id) = self.register(stream, addr, Peer::Client(Client::new()), true) {
+                        self.set_deadline(id, self.now + REQUEST_TIMEOUT_SECS);
                         self.client_ready(id);
                     }
-                    // Room is made early: who is asked to go takes a moment.
-                    if self.client_count > self.max_clients - self.max_clients / RESERVED_PART {
-                        self.end_idle_client(false);
+                    // Eviction starts early, as a client takes a moment to close its connection.
+                    if self.client_count > self.max_clients - self.max_clients / RESERVED_DIVISOR {
+                        self.evict_client(false);
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                // The one that waited is gone.
+                // The waiting connection is gone.
                 Err(e) if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
                 Err(e) => {
-                    warn!(code = "accept", %e, "no connection can be accepted");
-                    self.accept_paused_until = self.now + ACCEPT_RETRY_PAUSE;
+                    warn!(code = "accept", %e, "cannot accept a connection");
+                    self.accept_paused_until = self.now + ACCEPT_RETRY_DELAY_SECS;
                     return self.set_timer(self.accept_paused_until, Timer::Accept);
                 }
             }
         }
-        self.accept_again = true;
+        self.accept_pending = true;
     }
 
-    /// Makes room by a client's connection: first of those that have said nothing yet for a while, then of those between
-    /// requests, and of those whose request is still coming; of each the one that has been so longest. Many that begin a
-    /// request and stop, or say nothing, must not keep others out. Who has only just come goes where room is short.
-    fn end_idle_client(&mut self, short: bool) {
-        let silent_until = self.now + REQUEST_TIMEOUT - SILENT_CLIENT;
+    /// Closes a client's connection to free a descriptor: preferably one that has sent nothing for a while,
+    /// then one between requests, then one with an incomplete request, and of each kind the one that has been
+    /// so the longest. Many clients that stop in the middle of a request, or send nothing, must not lock
+    /// others out. Connections that were just opened are closed only if `even_new` is set.
+    fn evict_client(&mut self, even_new: bool) {
+        let silent_deadline = self.now + REQUEST_TIMEOUT_SECS - SILENT_CLIENT_SECS;
         let rank = |connection: &Connection| match &connection.peer {
-            Peer::Client(c) => match c.stage {
-                Stage::Idle if c.awaits_first_request && connection.deadline < silent_until => Some(0),
-                Stage::Idle if !c.awaits_first_request => Some(1),
+            Peer::Client(client) => match client.stage {
+                Stage::Idle if client.awaits_first_request && connection.deadline < silent_deadline => {
+                    Some(0)
+                }
+                Stage::Idle if !client.awaits_first_request => Some(1),
                 Stage::Reading => Some(2),
-                Stage::Idle => Some(3).filter(|_| short),
+                Stage::Idle => Some(3).filter(|_| even_new),
                 Stage::Writing | Stage::Lingering => None,
             },
             _ => None,
         };
-        // One whose request has come but is not read yet stays.
-        let Some(id) = self.oldest_quiet(rank) else { return };
+        // A connection with a request that was received but not read yet is kept.
+        let Some(id) = self.oldest_without_input(rank) else { return };
         let peer = self.connections.get(&id).map(|connection| &connection.peer);
-        if matches!(peer, Some(Peer::Client(c)) if c.stage == Stage::Reading) {
-            self.refuse_client(id, Reply::Unavailable);
+        if matches!(peer, Some(Peer::Client(client)) if client.stage == Stage::Reading) {
+            self.reply_and_close(id, Reply::Unavailable);
             return self.client_ready(id);
         }
-        self.end_client(id, Reason::NoRoom);
+        self.begin_client_close(id, CloseReason::LimitReached);
     }
 
-    /// Where those asked to go fill all room, the one that was asked first is not waited for any longer.
+    /// Closes the connection that has been lingering the longest. True if there was one.
     fn close_lingering_client(&mut self) -> bool {
-        let lingers = |connection: &Connection| {
-            matches!(&connection.peer, Peer::Client(c) if c.stage == Stage::Lingering).then_some(0)
+        let is_lingering = |connection: &Connection| {
+            matches!(&connection.peer, Peer::Client(client) if client.stage == Stage::Lingering).then_some(0)
         };
-        let Some(id) = self.oldest_quiet(lingers) else { return false };
-        self.close(id, Reason::NoRoom);
+        let Some(id) = self.oldest_without_input(is_lingering) else { return false };
+        self.close(id, CloseReason::LimitReached);
         true
     }
 
-    /// Of the connections of the lowest rank on which nothing has come, the one whose time is up first.
-    fn oldest_quiet(&self, rank: impl Fn(&Connection) -> Option<u8>) -> Option<usize> {
-        let least = |a: &(u8, f64, usize), b: &(u8, f64, usize)| a.partial_cmp(b).unwrap_or(Equal);
-        let mut found: Vec<_> = self
+    /// The connection without unread input that has the lowest rank, and of those the earliest deadline.
+    fn oldest_without_input(&self, rank: impl Fn(&Connection) -> Option<u8>) -> Option<usize> {
+        let by_rank_and_deadline =
+            |left: &(u8, f64, usize), right: &(u8, f64, usize)| left.partial_cmp(right).unwrap_or(Equal);
+        let mut candidates: Vec<_> = self
             .connections
             .iter()
-            .filter_map(|(n, connection)| Some((rank(connection)?, connection.deadline, *n)))
+            .filter_map(|(id, connection)| Some((rank(connection)?, connection.deadline, *id)))
             .collect();
-        found.sort_by(least);
-        let quiet = |id: &usize| {
-            self.connections.get(id).is_some_and(|connection| nothing_to_read(&connection.stream))
-        };
-        found.into_iter().map(|f| f.2).find(quiet)
+        candidates.sort_by(by_rank_and_deadline);
+        let has_no_input_yet =
+            |id: &usize| self.connections.get(id).is_some_and(|connection| has_no_input(&connection.stream));
+        candidates.into_iter().map(|candidate| candidate.2).find(has_no_input_yet)
     }
 
-    /// Writes and reads on a client's connection and serves the requests that have come.
+    /// Writes to and reads from a client's connection and handles the requests received.
     pub(super) fn client_ready(&mut self, id: usize) {
-        for _ in 0..REQUESTS_PER_TURN {
+        for _ in 0..REQUESTS_PER_ITERATION {
             if !self.flush(id) {
-                return self.close(id, Reason::PeerReset);
+                return self.close(id, CloseReason::PeerReset);
             }
             let Some(connection) = self.connections.get_mut(&id) else { return };
             let Peer::Client(client) = &mut connection.peer else { return };
-            if !connection.out.is_empty() {
+            if !connection.output.is_empty() {
                 return self.set_stage(id, Stage::Writing);
             }
             match client.next_step() {
                 Step::HandleRequest(request) => {
                     let routed = clients::route(request.head, self.bridge.event_types());
                     let (reply, number) = match routed {
-                        // It did not wait for the answer: what it handed in is not taken on.
-                        Ok(_) if !self.accepts_webhooks || has_ended(&connection.stream) => {
+                        // A client that did not wait for the response gets its webhook refused.
+                        Ok(_) if !self.accepts_webhooks || peer_has_closed(&connection.stream) => {
                             (Reply::Unavailable, None)
                         }
                         Ok(hand_in) => self.bridge.hand_in(self.now, hand_in, request.body),
                         Err(reply) => (reply, None),
                     };
-                    let last = !request.keep_alive || self.closing.is_some();
+                    let is_last = !request.keep_alive || self.shutdown_at.is_some();
                     (client.awaits_first_request, client.unacknowledged, client.stage) =
                         (false, number, Stage::Writing);
-                    if last {
+                    if is_last {
                         client.begin_close();
                     }
-                    clients::encode_reply(&mut connection.out, reply, last);
+                    clients::encode_reply(&mut connection.output, reply, is_last);
                 }
-                Step::Reject(status) => self.refuse_client(id, Reply::Status(status)),
-                Step::SendContinue => connection.out.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n"),
+                Step::Reject(status) => self.reply_and_close(id, Reply::Status(status)),
+                Step::SendContinue => connection.output.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n"),
                 Step::ShutdownWrite => {
-                    // Where this fails the connection is gone, which the next read tells.
+                    // If this fails, the connection is gone and the next read reports it.
                     let _ = connection.stream.shutdown(Shutdown::Write);
                     self.set_stage(id, Stage::Lingering);
                 }
-                Step::Close => return self.close(id, Reason::Answered),
+                Step::Close => return self.close(id, CloseReason::Completed),
                 Step::Read => match self.read(id) {
                     ReadResult::Bytes(count) => {
                         let Some(connection) = self.connections.get_mut(&id) else { return };
                         let Peer::Client(client) = &mut connection.peer else { return };
                         client.receive(&self.read_buffer[..count]);
-                        if client.buffered_bytes() > SMALL_BUFFER && self.buffers_full(true) {
-                            self.refuse_client(id, Reply::Unavailable);
+                        if client.buffered_bytes() > SMALL_BUFFER_BYTES && self.buffers_full(true) {
+                            self.reply_and_close(id, Reply::Unavailable);
                         }
                     }
-                    ReadResult::Nothing => {
-                        let closing = self.closing.is_some();
+                    ReadResult::WouldBlock => {
+                        let shutting_down = self.shutdown_at.is_some();
                         let Some(connection) = self.connections.get_mut(&id) else { return };
                         let Peer::Client(client) = &mut connection.peer else { return };
-                        if let Some(stage) = client.read_blocked(closing) {
+                        if let Some(stage) = client.read_blocked(shutting_down) {
                             return self.set_stage(id, stage);
                         }
-                        connection.ends = Some(Reason::Closing);
+                        connection.close_reason = Some(CloseReason::ShuttingDown);
                     }
-                    ReadResult::End(reason) => return self.close(id, reason),
+                    ReadResult::Closed(reason) => return self.close(id, reason),
                 },
             }
         }
-        self.ready_again.insert(id);
+        self.still_ready.insert(id);
     }
 
-    /// The last answer on a client's connection: nothing more is taken from it.
-    pub(super) fn refuse_client(&mut self, id: usize, reply: Reply) {
+    /// Sends the last reply on a client's connection, which is closed after it.
+    pub(super) fn reply_and_close(&mut self, id: usize, reply: Reply) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let Peer::Client(client) = &mut connection.peer else { return };
-        clients::encode_reply(&mut connection.out, reply, true);
+        clients::encode_reply(&mut connection.output, reply, true);
         client.begin_close();
     }
 
-    /// Ends a client's connection between requests. One that crosses this on its way is not taken on.
-    pub(super) fn end_client(&mut self, id: usize, reason: Reason) {
+    /// Closes a client's connection between requests. A request that arrives meanwhile is not handled.
+    pub(super) fn begin_client_close(&mut self, id: usize, reason: CloseReason) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let Peer::Client(client) = &mut connection.peer else { return };
         client.begin_close();
-        connection.ends = Some(reason);
+        connection.close_reason = Some(reason);
         self.client_ready(id);
     }
 
-    /// What is awaited from now on, and by when.
+    /// Sets what the connection waits for from now on, and its deadline.
     fn set_stage(&mut self, id: usize, stage: Stage) {
         let Some(Connection { peer: Peer::Client(client), .. }) = self.connections.get_mut(&id) else {
             return;
         };
-        let old = std::mem::replace(&mut client.stage, stage);
-        let within = match stage {
-            Stage::Idle => CLIENT_IDLE_TIMEOUT,
-            Stage::Reading | Stage::Writing => REQUEST_TIMEOUT,
-            Stage::Lingering => LINGER_TIMEOUT,
+        let previous_stage = std::mem::replace(&mut client.stage, stage);
+        let timeout_secs = match stage {
+            Stage::Idle => CLIENT_IDLE_TIMEOUT_SECS,
+            Stage::Reading | Stage::Writing => REQUEST_TIMEOUT_SECS,
+            Stage::Lingering => LINGER_TIMEOUT_SECS,
         };
-        // A request may not take longer because it comes in small pieces, nor the first because it begins late.
-        if old != stage && !(client.awaits_first_request && stage == Stage::Reading) {
-            self.set_deadline(id, self.now + within);
+        // Receiving a request in small pieces does not extend its deadline, nor does starting the first one
+        // late.
+        if previous_stage != stage && !(client.awaits_first_request && stage == Stage::Reading) {
+            self.set_deadline(id, self.now + timeout_secs);
         }
-        self.accept_again |= self.accept_waits && matches!(stage, Stage::Idle | Stage::Lingering);
+        self.accept_pending |= self.accept_blocked && matches!(stage, Stage::Idle | Stage::Lingering);
     }
 }
--- a/crates/sender/src/driver/connection.rs
+++ b/crates/sender/src/driver/connection.rs
@@ -1,4 +1,4 @@
-//! What all connections have in common, whoever is at the other end: they are opened, read, written and closed.
+//! Operations common to all connections, whatever the peer: opening, reading, writing and closing.
 
 use super::Driver;
 use crate::clients::Client;
@@ -10,47 +10,60 @@
 use std::net::SocketAddr;
 use tracing::info;
 
-/// Why a connection ended, as log lines name it.
+/// Why a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Reason {
-    Answered,
-    BadMessage,
-    CalledOff,
-    Closing,
+pub(super) enum CloseReason {
+    /// The last message on it was exchanged.
+    Completed,
+    /// The peer sent something invalid.
+    InvalidMessage,
+    /// The call on it was cancelled.
+    CallCancelled,
+    /// The process shuts down.
+    ShuttingDown,
+    /// It was idle for too long or is no longer needed.
     Idle,
-    Moved,
-    NoRoom,
-    NotUp,
+    /// The discovery service has a new address.
+    ServerMoved,
+    /// A limit on descriptors or storage is reached.
+    LimitReached,
+    /// It could not be opened.
+    NotConnected,
     PeerClosed,
     PeerReset,
+    /// The peer refused the request.
     Refused,
-    Silent,
+    /// A deadline has passed.
+    Timeout,
+    /// It was closed, or is about to be, while it was idle.
     Stale,
-    Unasked,
+    /// The peer sent a message that was not requested.
+    Unsolicited,
 }
 
-impl Reason {
+impl CloseReason {
+    /// The value of the log field `code`.
     fn code(self) -> &'static str {
         match self {
-            Reason::Answered => "answered",
-            Reason::BadMessage => "bad-message",
-            Reason::CalledOff => "called-off",
-            Reason::Closing => "closing",
-            Reason::Idle => "idle",
-            Reason::Moved => "moved",
-            Reason::NoRoom => "no-room",
-            Reason::NotUp => "not-up",
-            Reason::PeerClosed => "peer-closed",
-            Reason::PeerReset => "peer-reset",
-            Reason::Refused => "refused",
-            Reason::Silent => "silent",
-            Reason::Stale => "stale",
-            Reason::Unasked => "unasked",
+            CloseReason::Completed => "answered",
+            CloseReason::InvalidMessage => "bad-message",
+            CloseReason::CallCancelled => "called-off",
+            CloseReason::ShuttingDown => "closing",
+            CloseReason::Idle => "idle",
+            CloseReason::ServerMoved => "moved",
+            CloseReason::LimitReached => "no-room",
+            CloseReason::NotConnected => "not-up",
+            CloseReason::PeerClosed => "peer-closed",
+            CloseReason::PeerReset => "peer-reset",
+            CloseReason::Refused => "refused",
+            CloseReason::Timeout => "silent",
+            CloseReason::Stale => "stale",
+            CloseReason::Unsolicited => "unasked",
         }
     }
 }
 
-/// Who is at the other end of a connection.
+/// The kind of peer of a connection, with its state.
 pub(super) enum Peer {
     Client(Client),
     Endpoint(EndpointConnection),
@@ -59,6 +72,7 @@
 }
 
 impl Peer {
+    /// The value of the log field `peer`.
     fn name(&self) -> &'static str {
         match self {
             Peer::Client(_) => "client",
@@ -69,31 +83,33 @@
     }
 }
 
-/// One connection.
+/// A connection to a peer.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
     pub(super) addr: SocketAddr,
     pub(super) peer: Peer,
-    /// False while the connection is coming up.
-    pub(super) up: bool,
-    /// What is to be written, and how much of it is.
-    pub(super) out: Vec<u8>,
-    pub(super) sent: usize,
-    /// When something must have happened, and when that is looked at next.
+    /// False while the connection is being opened.
+    pub(super) is_up: bool,
+    /// The bytes to write, of which `written_bytes` are written.
+    pub(super) output: Vec<u8>,
+    pub(super) written_bytes: usize,
+    /// When the event that the connection waits for must have happened.
     pub(super) deadline: f64,
-    pub(super) timer: f64,
-    /// Why its end was begun, where it was.
-    pub(super) ends: Option<Reason>,
+    /// When the earliest timer set for this connection expires.
+    pub(super) timer_at: f64,
+    /// Why its close was begun, if it was.
+    pub(super) close_reason: Option<CloseReason>,
 }
 
-/// What a read brought.
+/// The result of a read.
 pub(super) enum ReadResult {
+    /// The number of bytes read.
     Bytes(usize),
-    Nothing,
-    End(Reason),
+    WouldBlock,
+    Closed(CloseReason),
 }
 
-/// The connection is up; false where it is still on its way.
+/// True if the connection is open, false if it is still being opened.
 fn is_connected(stream: &TcpStream) -> io::Result<bool> {
     if let Some(e) = stream.take_error()? {
         return Err(e);
@@ -105,13 +121,13 @@
     }
 }
 
-/// Nothing came and the other side has not ended.
-pub(super) fn nothing_to_read(stream: &TcpStream) -> bool {
+/// True if there is no unread input and the peer has not closed its sending side.
+pub(super) fn has_no_input(stream: &TcpStream) -> bool {
     matches!(stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
 }
 
-/// The other side has ended its sending, or the connection is broken.
-pub(super) fn has_ended(stream: &TcpStream) -> bool {
+/// True if the peer has closed its sending side or the connection is broken.
+pub(super) fn peer_has_closed(stream: &TcpStream) -> bool {
     match stream.peek(&mut [0]) {
         Ok(count) => count == 0,
         Err(e) => e.kind() != ErrorKind::WouldBlock,
@@ -119,45 +135,50 @@
 }
 
 impl Driver {
-    /// Takes a connection in among those that are watched and returns its number.
-    pub(super) fn add(
-        &mut self, mut stream: TcpStream, addr: SocketAddr, peer: Peer, up: bool,
+    /// Registers a connection with the event loop and returns its id.
+    pub(super) fn register(
+        &mut self, mut stream: TcpStream, addr: SocketAddr, peer: Peer, is_up: bool,
     ) -> io::Result<usize> {
-        let id = self.next_connection;
-        self.next_connection += 1;
-        let both = Interest::READABLE | Interest::WRITABLE;
-        self.poll.registry().register(&mut stream, Token(id), both)?;
-        // Without it a small message may wait for the answer to the one before; not vital.
+        let id = self.next_connection_id;
+        self.next_connection_id += 1;
+        let interests = Interest::READABLE | Interest::WRITABLE;
+        self.poll.registry().register(&mut stream, Token(id), interests)?;
+        // Without this a small message may wait for the acknowledgement of the previous one. A failure does
+        // no harm.
         let _ = stream.set_nodelay(true);
         match &peer {
             Peer::Client(_) => self.client_count += 1,
             Peer::Endpoint(_) => self.endpoint_count += 1,
             _ => {}
         }
-        let (out, sent, deadline, timer, ends) = (Vec::new(), 0, f64::INFINITY, f64::INFINITY, None);
-        self.connections.insert(id, Connection { stream, addr, peer, up, out, sent, deadline, timer, ends });
+        let (output, written_bytes, deadline, timer_at, close_reason) =
+            (Vec::new(), 0, f64::INFINITY, f64::INFINITY, None);
+        self.connections.insert(
+            id,
+            Connection { stream, addr, peer, is_up, output, written_bytes, deadline, timer_at, close_reason },
+        );
         Ok(id)
     }
 
-    /// Begins to open a connection.
+    /// Starts to open a connection.
     pub(super) fn connect(&mut self, addr: SocketAddr, peer: Peer) -> io::Result<usize> {
         let stream = TcpStream::connect(addr)?;
-        self.add(stream, addr, peer, false)
+        self.register(stream, addr, peer, false)
     }
 
-    /// Closes a connection and forgets what was on it.
-    pub(super) fn close(&mut self, id: usize, reason: Reason) {
+    /// Closes a connection and discards its state.
+    pub(super) fn close(&mut self, id: usize, reason: CloseReason) {
         let Some(mut connection) = self.connections.remove(&id) else { return };
         let _ = self.poll.registry().deregister(&mut connection.stream);
-        self.ready_again.remove(&id);
-        let ep =
+        self.still_ready.remove(&id);
+        let endpoint_name =
             if let Peer::Endpoint(endpoint) = &connection.peer { Some(endpoint.name.as_str()) } else { None };
-        let reason = connection.ends.unwrap_or(reason);
-        info!(peer = connection.peer.name(), code = reason.code(), ep, addr = %connection.addr, link = id, "connection ended");
+        let reason = connection.close_reason.unwrap_or(reason);
+        info!(peer = connection.peer.name(), code = reason.code(), ep = endpoint_name, addr = %connection.addr, link = id, "connection closed");
         match connection.peer {
             Peer::Client(client) => {
                 self.client_count -= 1;
-                self.accept_again |= self.accept_waits;
+                self.accept_pending |= self.accept_blocked;
                 if let Some(number) = client.unacknowledged {
                     self.bridge.withdraw(self.now, number);
                 }
@@ -165,8 +186,8 @@
             Peer::Endpoint(endpoint) => {
                 self.endpoint_count -= 1;
                 self.pool.remove(&endpoint.name, id);
-                for webhook in endpoint.call.iter().flat_map(|c| &c.webhooks) {
-                    self.calls.remove(&webhook.number);
+                for webhook in endpoint.call.iter().flat_map(|call| &call.webhooks) {
+                    self.call_connections.remove(&webhook.number);
                 }
             }
             Peer::List => self.list_connection = None,
@@ -174,14 +195,14 @@
         }
     }
 
-    /// Something may be read from a connection or written to it, or it has come up.
+    /// Handles a connection that is readable, writable, or just opened.
     pub(super) fn ready(&mut self, id: usize) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        if !connection.up {
+        if !connection.is_up {
             match is_connected(&connection.stream) {
-                Ok(true) => connection.up = true,
+                Ok(true) => connection.is_up = true,
                 Ok(false) => return,
-                Err(_) => return self.connection_failed(id, Reason::NotUp),
+                Err(_) => return self.connection_failed(id, CloseReason::NotConnected),
             }
             if matches!(connection.peer, Peer::Endpoint(_)) {
                 return self.send_call(id);
@@ -195,7 +216,8 @@
         }
     }
 
-    fn connection_failed(&mut self, id: usize, reason: Reason) {
+    /// Handles a connection that could not be opened.
+    fn connection_failed(&mut self, id: usize, reason: CloseReason) {
         match self.connections.get(&id).map(|connection| &connection.peer) {
             Some(Peer::Client(_)) => self.close(id, reason),
             Some(Peer::Endpoint(_)) => self.abort_call(id, Outcome::Reset, reason),
@@ -205,20 +227,20 @@
         }
     }
 
-    /// Writes what is to be written. False where the connection is broken.
+    /// Writes as much pending output as possible. False if the connection is broken.
     pub(super) fn flush(&mut self, id: usize) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else { return false };
-        while connection.sent < connection.out.len() {
-            match connection.stream.write(&connection.out[connection.sent..]) {
+        while connection.written_bytes < connection.output.len() {
+            match connection.stream.write(&connection.output[connection.written_bytes..]) {
                 Ok(0) => return false,
-                Ok(count) => connection.sent += count,
+                Ok(count) => connection.written_bytes += count,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return true,
                 Err(_) => return false,
             }
         }
-        connection.out.clear();
-        connection.sent = 0;
+        connection.output.clear();
+        connection.written_bytes = 0;
         match &mut connection.peer {
             Peer::Client(client) => client.unacknowledged = None,
             Peer::Endpoint(EndpointConnection { call: Some(call), .. }) => call.written = true,
@@ -227,16 +249,16 @@
         true
     }
 
-    /// Reads what has come, up to the size of the buffer.
+    /// Reads into the read buffer.
     pub(super) fn read(&mut self, id: usize) -> ReadResult {
-        let Some(connection) = self.connections.get_mut(&id) else { return ReadResult::Nothing };
+        let Some(connection) = self.connections.get_mut(&id) else { return ReadResult::WouldBlock };
         loop {
             return match connection.stream.read(&mut self.read_buffer) {
-                Ok(0) => ReadResult::End(Reason::PeerClosed),
+                Ok(0) => ReadResult::Closed(CloseReason::PeerClosed),
                 Ok(count) => ReadResult::Bytes(count),
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => ReadResult::Nothing,
-                Err(_) => ReadResult::End(Reason::PeerReset),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => ReadResult::WouldBlock,
+                Err(_) => ReadResult::Closed(CloseReason::PeerReset),
             };
         }
     }
--- a/crates/sender/src/driver/notices.rs
+++ b/crates/sender/src/driver/notices.rs
@@ -1,30 +1,30 @@
-//! The connection on which the platform is sent notices of final answers.
+//! The connection over which the platform is notified of final answers.
 
 use super::Driver;
-use super::connection::{Peer, ReadResult, Reason, nothing_to_read};
+use super::connection::{CloseReason, Peer, ReadResult, has_no_input};
 use super::timers::Timer;
 use crate::notices;
 
 impl Driver {
-    /// Sends what is owed, over the connection that is there or a new one.
+    /// Sends the next notice, over the open connection or a new one.
     pub(super) fn send_notice(&mut self) {
         if let Some(id) = self.notice_connection
-            && self.connections.get(&id).is_some_and(|connection| !nothing_to_read(&connection.stream))
+            && self.connections.get(&id).is_some_and(|connection| !has_no_input(&connection.stream))
         {
-            self.close(id, Reason::Stale);
+            self.close(id, CloseReason::Stale);
         }
         let id = match self.notice_connection {
             Some(id) => Ok(id),
             None => self.connect(self.discovery, Peer::Notices),
         };
-        let Ok(id) = id else { return self.notices_failed(Reason::NotUp) };
+        let Ok(id) = id else { return self.notices_failed(CloseReason::NotConnected) };
         self.notice_connection = Some(id);
-        let call = self.bridge.next_notice(&self.discovery);
+        let request = self.bridge.next_notice(&self.discovery);
         if let Some(connection) = self.connections.get_mut(&id) {
-            (connection.out, connection.sent) = (call, 0);
-            let up = connection.up;
+            (connection.output, connection.written_bytes) = (request, 0);
+            let is_up = connection.is_up;
             self.set_deadline(id, self.now + notices::ACK_TIMEOUT_SECS);
-            if up {
+            if is_up {
                 self.notices_ready(id);
             }
         }
@@ -33,32 +33,32 @@
     /// Writes the notice and reads its acknowledgement.
     pub(super) fn notices_ready(&mut self, id: usize) {
         if !self.flush(id) {
-            return self.notices_failed(Reason::PeerReset);
+            return self.notices_failed(CloseReason::PeerReset);
         }
         match self.read(id) {
-            ReadResult::Nothing => {}
-            ReadResult::End(reason) => self.notices_failed(reason),
+            ReadResult::WouldBlock => {}
+            ReadResult::Closed(reason) => self.notices_failed(reason),
             ReadResult::Bytes(count) => match self.bridge.notices.feed(&self.read_buffer[..count]) {
-                Ok(None) => _ = self.ready_again.insert(id),
-                Ok(Some((acknowledged, keep))) => {
+                Ok(None) => _ = self.still_ready.insert(id),
+                Ok(Some((acknowledged, keep_alive))) => {
                     self.bridge.notices_acknowledged(&acknowledged);
                     self.set_deadline(id, f64::INFINITY);
-                    if !keep {
-                        self.close(id, Reason::Answered);
+                    if !keep_alive {
+                        self.close(id, CloseReason::Completed);
                     }
                 }
-                Err(_) => self.notices_failed(Reason::BadMessage),
+                Err(_) => self.notices_failed(CloseReason::InvalidMessage),
             },
         }
     }
 
-    /// The notice was not acknowledged: it is sent again after a pause.
-    pub(super) fn notices_failed(&mut self, reason: Reason) {
+    /// Handles a notice that was not acknowledged: it is sent again after a pause.
+    pub(super) fn notices_failed(&mut self, reason: CloseReason) {
         if let Some(id) = self.notice_connection {
             self.close(id, reason);
         }
         self.bridge.notices.connection_lost();
-        self.notice_at = self.now + notices::RETRY_DELAY_SECS;
-        self.set_timer(self.notice_at, Timer::Notices);
+        self.next_notice_at = self.now + notices::RETRY_DELAY_SECS;
+        self.set_timer(self.next_notice_at, Timer::Notices);
     }
 }
--- a/crates/sender/src/driver/signals.rs
+++ b/crates/sender/src/driver/signals.rs
@@ -1,65 +1,69 @@
-//! Signals: SIGTERM and SIGINT end the process in order, SIGHUP has the configuration read again.
+//! Signals: SIGTERM and SIGINT start a graceful shutdown, SIGHUP reloads the configuration.
 
 use super::Driver;
-use super::budgets::{max_buffered, max_connections};
-use super::clients::{REQUEST_TIMEOUT, SILENT_CLIENT};
-use super::connection::{Peer, Reason};
+use super::budgets::{max_buffered_bytes, max_connections};
+use super::clients::{REQUEST_TIMEOUT_SECS, SILENT_CLIENT_SECS};
+use super::connection::{CloseReason, Peer};
 use super::timers::Timer;
 use crate::clients::{Reply, Stage};
 use mio::net::UnixStream;
 use std::io::{self, Read};
 use tracing::{info, warn};
 
-/// From SIGTERM to the end: the platform kills after 3.7 s.
-const SHUTDOWN_TIMEOUT: f64 = 3.3;
-/// New connections keep coming for up to 0.4 s after SIGTERM.
-const SHUTDOWN_MIN: f64 = 0.6;
-/// So long before the end, whoever is still there is told that nothing more is taken on, and the connection is shut.
-pub(super) const FINAL_REFUSAL: f64 = 0.2;
+/// Time from SIGTERM to the exit. The platform kills the process after 3.7 s.
+const SHUTDOWN_TIMEOUT_SECS: f64 = 3.3;
+/// Minimum time from SIGTERM to the exit, as clients open new connections for up to 0.4 s after it.
+const MIN_SHUTDOWN_SECS: f64 = 0.6;
+/// How long before the exit the remaining clients are refused and their connections closed.
+pub(super) const FINAL_REFUSAL_SECS: f64 = 0.2;
 
-/// The end of a pipe from which the signals can be read.
-pub(super) fn signal_pipe(numbers: &[i32]) -> io::Result<UnixStream> {
-    let (write, read) = UnixStream::pair()?;
-    let write = std::os::fd::OwnedFd::from(write);
-    for number in numbers {
-        signal_hook::low_level::pipe::register(*number, write.try_clone()?)?;
+/// The reading end of a pipe that receives a byte for each of these signals.
+pub(super) fn signal_pipe(signals: &[i32]) -> io::Result<UnixStream> {
+    let (writer, reader) = UnixStream::pair()?;
+    let writer = std::os::fd::OwnedFd::from(writer);
+    for signal in signals {
+        signal_hook::low_level::pipe::register(*signal, writer.try_clone()?)?;
     }
-    Ok(read)
+    Ok(reader)
 }
 
 impl Driver {
-    /// The process was asked to end: it goes on for a while, so that requests and calls on their way are answered.
+    /// Starts the shutdown. The process keeps running for a while, so that requests and calls in flight are
+    /// answered.
     pub(super) fn begin_shutdown(&mut self) {
         while matches!(self.shutdown_signals.read(&mut [0; 64]), Ok(count) if count > 0) {}
-        if self.closing.is_some() {
+        if self.shutdown_at.is_some() {
             return;
         }
-        let end = self.now + SHUTDOWN_TIMEOUT;
-        self.closing = Some(end);
-        info!(code = "closing", "no further use of connections");
-        self.bridge.begin_shutdown(self.now, end);
-        self.set_timer(self.now + SHUTDOWN_MIN, Timer::Exit);
+        let exit_at = self.now + SHUTDOWN_TIMEOUT_SECS;
+        self.shutdown_at = Some(exit_at);
+        info!(code = "closing", "shutting down");
+        self.bridge.begin_shutdown(self.now, exit_at);
+        self.set_timer(self.now + MIN_SHUTDOWN_SECS, Timer::Exit);
         let clients = self.connections.iter_mut().filter_map(|(id, connection)| match &mut connection.peer {
             Peer::Client(client) => {
-                // Who has connected this moment is about to ask, as those are who come after the signal.
+                // A client that has just connected is about to send a request, like those that connect after
+                // the signal.
                 client.awaits_first_request &=
-                    self.now <= connection.deadline - REQUEST_TIMEOUT + SILENT_CLIENT;
+                    self.now <= connection.deadline - REQUEST_TIMEOUT_SECS + SILENT_CLIENT_SECS;
                 Some(*id)
             }
             _ => None,
         });
-        // A request that has come already is answered before its connection ends.
-        self.ready_again.extend(clients);
+        // A request that was already received is answered before its connection is closed.
+        self.still_ready.extend(clients);
     }
 
-    /// Nothing more is taken on, and every client hears of it before the process ends.
+    /// Accepts no further webhook and closes all client connections, replying to incomplete requests.
     pub(super) fn refuse_remaining_clients(&mut self) {
         self.accepts_webhooks = false;
         for id in self.connections.keys().copied().collect::<Vec<_>>() {
             match self.connections.get(&id).map(|connection| &connection.peer) {
-                Some(Peer::Client(c)) if c.stage == Stage::Idle => self.end_client(id, Reason::Closing),
-                Some(Peer::Client(c)) if c.stage == Stage::Reading => {
-                    self.refuse_client(id, Reply::Unavailable);
+                Some(Peer::Client(client)) if client.stage == Stage::Idle => {
+                    self.begin_client_close(id, CloseReason::ShuttingDown)
+                }
+                Some(Peer::Client(client)) if client.stage == Stage::Reading => {
+                    self.reply_and_close(id, Reply::Unavailable);
                     self.client_ready(id);
                 }
                 _ => {}
@@ -67,44 +71,51 @@
         }
     }
 
-    /// Closes all connections. True: the process ends.
+    /// Closes all connections. Returns true, as the process has to exit.
     pub(super) fn finish_shutdown(&mut self) -> bool {
         let connections: Vec<usize> = self.connections.keys().copied().collect();
         for id in connections {
-            // An answer that has come already counts.
+            // A response that was already received counts.
             let peer = self.connections.get(&id).map(|connection| &connection.peer);
             if matches!(peer, Some(Peer::Endpoint(endpoint)) if endpoint.call.is_some()) {
                 self.endpoint_ready(id);
             }
-            self.close(id, Reason::Closing);
+            self.close(id, CloseReason::ShuttingDown);
         }
-        info!(code = "ended", "asked to end");
+        info!(code = "ended", "shutdown finished");
         true
     }
 
-    /// The configuration's file is read again. A faulty one changes nothing.
+    /// Reloads the configuration file. An invalid one changes nothing.
     pub(super) fn reload_config(&mut self) {
         while matches!(self.reload_signals.read(&mut [0; 64]), Ok(count) if count > 0) {}
-        let config = match self.bridge.config().reload(&self.path) {
+        let config = match self.bridge.config().reload(&self.config_path) {
             Ok(config) => config,
-            Err(why) => return warn!(code = "config-kept", why, "the configuration stays as it was"),
+            Err(error) => {
+                return warn!(
+                    code = "config-kept",
+                    why = error,
+                    "keeping the old configuration: the new one is invalid"
+                );
+            }
         };
         (self.max_clients, self.max_endpoints) = max_connections(&config.limits);
-        self.max_buffered = max_buffered(&config.limits);
-        let moved = std::mem::replace(&mut self.discovery, config.discovery) != config.discovery;
-        info!(code = "config-read", discovery = %config.discovery, moved, "the configuration was read again");
+        self.max_buffered_bytes = max_buffered_bytes(&config.limits);
+        let discovery_moved = std::mem::replace(&mut self.discovery, config.discovery) != config.discovery;
+        info!(code = "config-read", discovery = %config.discovery, moved = discovery_moved, "reloaded the configuration");
         self.bridge.apply_config(config);
-        if moved {
-            // Both are taken up again at the new address when the turn ends, whatever pause the old one was given.
-            self.list.moved();
+        if discovery_moved {
+            // List and notices connect to the new address at the end of this iteration, whatever pause was
+            // set for the old one.
+            self.list_client.server_moved();
             self.list_wanted = true;
             if let Some(id) = self.list_connection {
-                self.close(id, Reason::Moved);
+                self.close(id, CloseReason::ServerMoved);
             }
             self.bridge.notices.connection_lost();
-            self.notice_at = self.now;
+            self.next_notice_at = self.now;
             if let Some(id) = self.notice_connection {
-                self.close(id, Reason::Moved);
+                self.close(id, CloseReason::ServerMoved);
             }
         }
     }
--- a/crates/sender/src/driver/timers.rs
+++ b/crates/sender/src/driver/timers.rs
@@ -1,48 +1,55 @@
-//! Timers: when something is due, and what happens then.
+//! Timers: setting them and handling the ones that have expired.
 
 use super::Driver;
-use super::connection::{Peer, Reason};
-use super::signals::FINAL_REFUSAL;
+use super::connection::{CloseReason, Peer};
+use super::signals::FINAL_REFUSAL_SECS;
 use crate::clients::{Reply, Stage};
 use scalebarrow::Outcome;
 use std::cmp::Reverse;
 
-/// What a timer was set for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
+    /// The deadline of the connection with this id.
     Connection(usize),
+    /// Connections are accepted again after a pause.
     Accept,
+    /// The decision module asked to be woken.
     Wake,
+    /// The endpoint list is requested again after a pause.
     List,
+    /// A notice is sent again after a pause.
     Notices,
+    /// The shutdown checks whether the process can exit.
     Exit,
 }
 
-/// A time in whole microseconds, rounded up, as timers hold it.
+/// Converts a time from seconds to whole microseconds, rounded up, as timers hold it.
 pub(super) fn micros(at: f64) -> u64 {
     (at * 1e6).ceil() as u64
 }
 
 impl Driver {
-    /// Sets a timer; a time without bound sets none.
+    /// Sets a timer, unless its time is infinite.
     pub(super) fn set_timer(&mut self, at: f64, timer: Timer) {
         if at.is_finite() {
             self.timers.push(Reverse((micros(at), timer)));
         }
     }
 
-    /// Sets when something must have happened on a connection.
+    /// Sets the deadline of a connection.
     pub(super) fn set_deadline(&mut self, id: usize, at: f64) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.deadline = at;
-        // One that is put off is looked at when its timer comes: a timer for each message would pile up.
-        if at < connection.timer {
-            connection.timer = at;
+        // A deadline that is postponed is checked when the earlier timer expires: a timer per message would
+        // pile up.
+        if at < connection.timer_at {
+            connection.timer_at = at;
             self.set_timer(at, Timer::Connection(id));
         }
     }
 
-    /// Handles the timers whose time has come. True when the process has to end.
+    /// Handles the timers that have expired. True if the process has to exit.
     pub(super) fn expire_timers(&mut self) -> bool {
         while let Some(Reverse((at, timer))) = self.timers.peek().copied()
             && at as f64 <= self.now * 1e6
@@ -51,28 +58,29 @@
             match timer {
                 Timer::Connection(id) => {
                     let Some(connection) = self.connections.get_mut(&id) else { continue };
-                    connection.timer = f64::INFINITY;
+                    connection.timer_at = f64::INFINITY;
                     let deadline = connection.deadline;
-                    // Compared as whole numbers, as the timers are: a rounded time must not come round for ever.
+                    // Compared in whole microseconds, like the timers: otherwise rounding could set the same
+                    // timer forever.
                     if micros(deadline) <= at {
-                        self.deadline_passed(id)
+                        self.handle_passed_deadline(id)
                     } else {
                         self.set_deadline(id, deadline)
                     }
                 }
-                Timer::Accept => self.accept_again = true,
+                Timer::Accept => self.accept_pending = true,
                 Timer::Wake => self.bridge.wake(self.now),
                 Timer::List => self.list_wanted = true,
-                // Looked at when the turn ends.
+                // Notices are sent at the end of the iteration.
                 Timer::Notices => {}
                 Timer::Exit => {
-                    // Who connected just now is not closed unheard.
+                    // A connection that was just opened is not closed without reading its request.
                     self.accept();
-                    let left = self.closing.map_or(0.0, |at| at - self.now);
-                    if left <= 0.0 || (self.client_count == 0 && self.bridge.is_idle()) {
+                    let remaining_secs = self.shutdown_at.map_or(0.0, |exit_at| exit_at - self.now);
+                    if remaining_secs <= 0.0 || (self.client_count == 0 && self.bridge.is_idle()) {
                         return self.finish_shutdown();
                     }
-                    if left <= FINAL_REFUSAL {
+                    if remaining_secs <= FINAL_REFUSAL_SECS {
                         self.refuse_remaining_clients();
                     }
                     self.set_timer(self.now + 0.05, Timer::Exit);
@@ -82,8 +90,9 @@
         false
     }
 
-    /// What was to happen on a connection by now has not, as far as was seen: what the system has for it is read first.
-    fn deadline_passed(&mut self, id: usize) {
+    /// Handles a deadline that has passed. Pending input is read first, as it may contain what the connection
+    /// waits for.
+    fn handle_passed_deadline(&mut self, id: usize) {
         self.ready(id);
         let Some(connection) = self.connections.get_mut(&id) else { return };
         if connection.deadline > self.now {
@@ -92,22 +101,22 @@
         match &mut connection.peer {
             Peer::Client(client) => match client.stage {
                 Stage::Reading => {
-                    self.refuse_client(id, Reply::Status(408));
+                    self.reply_and_close(id, Reply::Status(408));
                     self.client_ready(id);
                 }
-                Stage::Idle => self.end_client(id, Reason::Idle),
-                Stage::Writing | Stage::Lingering => self.close(id, Reason::Silent),
+                Stage::Idle => self.begin_client_close(id, CloseReason::Idle),
+                Stage::Writing | Stage::Lingering => self.close(id, CloseReason::Timeout),
             },
             Peer::Endpoint(endpoint) if endpoint.call.is_some() => {
-                match (connection.up, endpoint.decoder.is_between_messages()) {
-                    (true, true) => self.abort_call(id, Outcome::TimedOut, Reason::Silent),
-                    (true, false) => self.abort_call(id, Outcome::Reset, Reason::BadMessage),
-                    _ => self.abort_call(id, Outcome::TimedOut, Reason::NotUp),
+                match (connection.is_up, endpoint.decoder.is_between_messages()) {
+                    (true, true) => self.abort_call(id, Outcome::TimedOut, CloseReason::Timeout),
+                    (true, false) => self.abort_call(id, Outcome::Reset, CloseReason::InvalidMessage),
+                    _ => self.abort_call(id, Outcome::TimedOut, CloseReason::NotConnected),
                 }
             }
-            Peer::Endpoint(_) => self.close(id, Reason::Idle),
-            Peer::List => self.list_failed(Reason::Silent),
-            Peer::Notices => self.notices_failed(Reason::Silent),
+            Peer::Endpoint(_) => self.close(id, CloseReason::Idle),
+            Peer::List => self.list_failed(CloseReason::Timeout),
+            Peer::Notices => self.notices_failed(CloseReason::Timeout),
         }
     }
 }
--- a/crates/sender/src/list.rs
+++ b/crates/sender/src/list.rs
@@ -1,51 +1,56 @@
-//! The platform's list of endpoints: how it is asked for, and what it says.
+//! The platform's list of endpoints: its contents, and the requests for it and for its changes.
 
 use crate::http::{Decoder, StatusHead};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// After a call that failed, was refused or was given up, a change counts as told so long after discovery had it and
-/// could be reached.
+/// After a request that failed, was refused or timed out, a change of the list counts as received this long
+/// after the discovery service had it and could be reached.
 pub const CHANGE_DEADLINE_SECS: f64 = 6.0;
-/// How long a watch may be held that has nothing to tell. Where lists are pushed, the agent beside the sender answers at
-/// no cost, and what it has counts as told whether or not a watch stands: one that has fallen silent is found soon. Where
-/// they are asked for, each call costs the platform, and what a silent one misses counts 2 s after its wait is over: a
-/// third of what the platform allows.
-const PUSHED_MS: u64 = 2_000;
-const ASKED_MS: u64 = 20_000;
-/// The same after a call that failed: what was missed is told at once, so who has nothing to tell says that at once, too.
-const AGAIN_MS: u64 = 100;
-/// A list of ten thousand endpoints takes about 2 MB.
-const MOST_LIST: usize = 4 * 1024 * 1024;
-/// An answer that is due comes at once; who has said nothing for so long is silent. Asked again with the pause between
-/// two tries, an agent that was silent in an outage tells what it has before half a second of it has passed, the time in
-/// which sends to an endpoint that drains have to stop. A platform that is asked may have a queue.
-const PUSHED_PATIENCE: f64 = 0.4;
-const ASKED_PATIENCE: f64 = 0.9;
-/// The platform's queue takes 2 s at most, or it refuses: a call for changes that is given up earlier was for nothing, and
-/// all that do so after an outage keep the queue full.
-const AGAIN_PATIENCE: f64 = 2.0;
-/// Half a second is left for the way and for connections that have to come up.
-const ON_THE_WAY: f64 = 0.5;
-
-/// The longest pause between two calls where lists are asked for. At worst discovery can be reached again just after a
-/// call went out: that one is given up, the pause passes, and the next one is answered as late as may be.
-pub const MAX_PULL_PAUSE_SECS: f64 =
-    CHANGE_DEADLINE_SECS - ON_THE_WAY - 2.0 * (AGAIN_MS as f64 / 1e3 + AGAIN_PATIENCE);
-
-/// Whether an endpoint takes calls.
+/// How long the server may hold a watch (a request for changes) without changes. Where lists are pushed, a
+/// local agent answers at no cost, and its changes count as received whether or not a watch is open: a lost
+/// watch has to be detected soon. Where lists are pulled, each request costs the platform, and a change
+/// missed by a lost watch counts as received 2 s after the wait ends: a third of what the platform allows.
+const PUSH_WATCH_MS: u64 = 2_000;
+const PULL_WATCH_MS: u64 = 20_000;
+/// The same for a request after a failure: missed changes are sent at once, so a response without
+/// changes may come at once, too.
+const RETRY_WATCH_MS: u64 = 100;
+/// Limit for the body of a response; a list of ten thousand endpoints takes about 2 MB.
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
+/// How long a response may be overdue; normally it is sent as soon as it is due. With this timeout and the
+/// pause before a retry, an agent that did not respond in an outage is asked again within half a second, the
+/// time in which calls to a draining endpoint have to stop. A platform from which lists are pulled may have a
+/// queue.
+const PUSH_RESPONSE_TIMEOUT_SECS: f64 = 0.4;
+const PULL_RESPONSE_TIMEOUT_SECS: f64 = 0.9;
+/// The same for a pull request after a failure. The platform's queue takes at most 2 s, or the request is
+/// refused: a request that is given up earlier is wasted, and many of them after an outage keep the queue
+/// full.
+const PULL_RETRY_TIMEOUT_SECS: f64 = 2.0;
+/// Time reserved for network latency and for opening connections.
+const LATENCY_MARGIN_SECS: f64 = 0.5;
+
+/// The maximum pause between two requests where lists are pulled. In the worst case, discovery can be reached
+/// again just after a request was sent: that one times out, the pause passes, and the next response takes the
+/// full timeout.
+pub const MAX_PULL_PAUSE_SECS: f64 = CHANGE_DEADLINE_SECS
+    - LATENCY_MARGIN_SECS
+    - 2.0 * (RETRY_WATCH_MS as f64 / 1e3 + PULL_RETRY_TIMEOUT_SECS);
+
+/// Whether an endpoint accepts calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Health {
-    /// It does.
+    /// It accepts calls.
     Serving,
-    /// It does not for now.
+    /// It accepts no calls for now.
     Draining,
-    /// It has left for good.
+    /// It was removed permanently.
     Deleted,
 }
 
-/// One line of the list.
+/// An endpoint in the list.
 #[derive(Debug, Clone, Deserialize)]
 pub struct EndpointEntry {
     /// The endpoint's name.
@@ -60,26 +65,26 @@
     /// The kind of its destination.
     #[serde(rename = "class")]
     pub destination_kind: String,
-    /// An endpoint of no destination gets no calls.
+    /// The number of its destination. An endpoint without one gets no calls.
     #[serde(rename = "block")]
     pub destination: Option<u64>,
-    /// Whether it takes calls.
+    /// Whether it accepts calls.
     pub health: Health,
-    /// Calls a second that its destination takes, where that is listed.
+    /// The rate limit of its destination in calls per second, if it is listed.
     #[serde(rename = "share")]
     pub rate_limit: Option<f64>,
-    /// When it last started, in Unix time.
+    /// When it last started, in milliseconds of Unix time.
     #[serde(rename = "born_ms")]
     pub started_unix_ms: Option<f64>,
 }
 
-/// A list, or what changed in it.
+/// A complete list, or the changes to it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct EndpointListUpdate {
-    /// The version.
+    /// The version of the list.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// All endpoints are named; else those that changed.
+    /// True if `endpoints` has all endpoints, false if only those that changed.
     #[serde(rename = "whole")]
     pub is_complete: bool,
     /// The endpoints.
@@ -87,102 +92,124 @@
     pub endpoints: Vec<EndpointEntry>,
 }
 
-/// Why a call for the list brought none.
+/// Why a request for the list failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListError {
-    /// The platform has too much to do: nothing is wrong with what is known.
+    /// The platform is overloaded. The known list is still valid.
     Refused,
-    /// What came cannot be read, or does not follow on what is known.
+    /// The response cannot be decoded, or does not continue from the known version.
     InvalidResponse,
 }
 
-/// Which call is due or out: watches from the version that is known, the whole list where none is.
+/// Builds the requests for the list and decodes the responses: it watches for changes since the known
+/// version, or requests the complete list if none is known.
 pub struct ListClient {
     decoder: Decoder<StatusHead>,
-    seq: Option<u64>,
-    /// Calls that brought no list since the last that did. A watch whose connection ended goes on over another one, once.
-    failed: u32,
-    /// The last that failed was a watch.
-    fell_silent: bool,
-    /// Lists have to be asked for; otherwise an agent is sent them.
-    asked: bool,
+    /// The version of the known list; none if the complete list has to be requested.
+    known_version: Option<u64>,
+    /// Requests that failed since the last success. After the first failure a lost watch is resumed on a new
+    /// connection.
+    consecutive_failures: u32,
+    /// The last failure was a watch that lost its connection or timed out.
+    watch_was_lost: bool,
+    /// Lists are pulled from the platform; otherwise they are pushed to a local agent, which is asked here.
+    pulls_list: bool,
 }
 
 impl ListClient {
-    /// The list is known in this version. To ask for changes alone costs the platform little; whole lists for all
-    /// senders that start together keep it busy for so long that all of them are refused.
-    pub fn new(seq: u64, asked: bool) -> Self {
+    /// A client that knows this version of the list. Requesting only the changes costs the platform little,
+    /// while complete lists for many senders that start together overload it, so that all of them are
+    /// refused.
+    pub fn new(known_version: u64, pulls_list: bool) -> Self {
         ListClient {
-            decoder: Decoder::for_responses(MOST_LIST),
-            seq: Some(seq),
-            failed: 0,
-            fell_silent: false,
-            asked,
+            decoder: Decoder::for_responses(MAX_LIST_BYTES),
+            known_version: Some(known_version),
+            consecutive_failures: 0,
+            watch_was_lost: false,
+            pulls_list,
         }
     }
 
-    /// From which version changes are asked for; none where the whole list is.
-    pub fn version(&self) -> Option<u64> {
-        self.seq
+    /// The version from which changes are requested; none if the complete list is.
+    pub fn known_version(&self) -> Option<u64> {
+        self.known_version
     }
 
-    /// The call to make now, and how long its answer may take.
-    pub fn call(&self, host: &SocketAddr) -> (Vec<u8>, f64) {
-        let (wait, patience) =
-            if self.asked { (ASKED_MS, ASKED_PATIENCE) } else { (PUSHED_MS, PUSHED_PATIENCE) };
-        // Right after a watch that fell silent there is no time to wait for a queue: its clock runs 2 s past its wait.
-        let again = self.failed > 0 && self.asked && self.seq.is_some() && !self.fell_silent;
-        let wait = if self.failed > 0 { AGAIN_MS } else { wait };
-        let patience = if again { AGAIN_PATIENCE } else { patience };
-        let (query, patience) = match self.seq {
-            None => (String::new(), patience),
-            Some(seq) => (format!("?since={seq}&timeout_ms={wait}"), wait as f64 / 1e3 + patience),
+    /// The request to send now, and the timeout for its response in seconds.
+    pub fn next_request(&self, server: &SocketAddr) -> (Vec<u8>, f64) {
+        let (watch_ms, response_timeout_secs) = if self.pulls_list {
+            (PULL_WATCH_MS, PULL_RESPONSE_TIMEOUT_SECS)
+        } else {
+            (PUSH_WATCH_MS, PUSH_RESPONSE_TIMEOUT_SECS)
         };
-        (format!("GET /v1/endpoints{query} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes(), patience)
+        // After a lost watch there is no time to wait for a queue: its changes count as received 2 s after
+        // its wait ended.
+        let is_pull_retry = self.consecutive_failures > 0
+            && self.pulls_list
+            && self.known_version.is_some()
+            && !self.watch_was_lost;
+        let watch_ms = if self.consecutive_failures > 0 { RETRY_WATCH_MS } else { watch_ms };
+        let response_timeout_secs =
+            if is_pull_retry { PULL_RETRY_TIMEOUT_SECS } else { response_timeout_secs };
+        let (query, response_timeout_secs) = match self.known_version {
+            None => (String::new(), response_timeout_secs),
+            Some(known_version) => (
+                format!("?since={known_version}&timeout_ms={watch_ms}"),
+                watch_ms as f64 / 1e3 + response_timeout_secs,
+            ),
+        };
+        (
+            format!("GET /v1/endpoints{query} HTTP/1.1\r\nHost: {server}\r\n\r\n").into_bytes(),
+            response_timeout_secs,
+        )
     }
 
-    /// What an answer tells, and whether the connection serves further calls.
+    /// Takes received bytes. Returns the content of a complete response, and whether the connection can be
+    /// used for further requests.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<(EndpointListUpdate, bool)>, ListError> {
         self.decoder.feed(bytes);
         let message = self.decoder.next_message().map_err(|_| ListError::InvalidResponse)?;
-        let Some(answer) = message else { return Ok(None) };
-        match answer.head.0 {
+        let Some(response) = message else { return Ok(None) };
+        match response.head.0 {
             200 => {}
             429 | 503 => return Err(ListError::Refused),
             _ => return Err(ListError::InvalidResponse),
         }
-        let news: EndpointListUpdate =
-            serde_json::from_slice(&answer.body).map_err(|_| ListError::InvalidResponse)?;
-        // Against a platform that counts anew, as after a loss of its own: changes would pass by unseen.
-        if !news.is_complete && self.seq.is_some_and(|known| news.version < known) {
+        let update: EndpointListUpdate =
+            serde_json::from_slice(&response.body).map_err(|_| ListError::InvalidResponse)?;
+        // A lower version means that the platform lost its state and counts anew: changes would be missed.
+        if !update.is_complete && self.known_version.is_some_and(|known| update.version < known) {
             return Err(ListError::InvalidResponse);
         }
-        (self.seq, self.failed) = (Some(news.version), 0);
-        Ok(Some((news, answer.keep_alive && self.decoder.is_between_messages())))
+        (self.known_version, self.consecutive_failures) = (Some(update.version), 0);
+        Ok(Some((update, response.keep_alive && self.decoder.is_between_messages())))
     }
 
-    /// The platform is reached at another address: the whole list is asked for there.
-    pub fn moved(&mut self) {
-        (self.decoder, self.seq, self.failed) = (Decoder::for_responses(MOST_LIST), None, 0);
+    /// The platform has a new address, where the complete list is requested.
+    pub fn server_moved(&mut self) {
+        (self.decoder, self.known_version, self.consecutive_failures) =
+            (Decoder::for_responses(MAX_LIST_BYTES), None, 0);
     }
 
-    /// The platform refused, and the connection is gone. What is known stays known: the next call asks for what
-    /// changed since, and not before it is due. At once, and for the whole list, would keep the platform busy.
-    pub fn refused(&mut self) {
-        (self.decoder, self.failed, self.fell_silent) =
-            (Decoder::for_responses(MOST_LIST), self.failed + 1, false);
+    /// The platform refused the request, and the connection is closed. The known list is kept: the next
+    /// request is for the changes since, and is sent only when it is due. An immediate request for the
+    /// complete list would overload the platform.
+    pub fn request_refused(&mut self) {
+        (self.decoder, self.consecutive_failures, self.watch_was_lost) =
+            (Decoder::for_responses(MAX_LIST_BYTES), self.consecutive_failures + 1, false);
     }
 
-    /// The connection is gone. True where the watch goes on over a new one at once.
-    pub fn broken(&mut self) -> bool {
-        let goes_on = self.seq.is_some() && self.failed == 0;
-        self.fell_silent = goes_on;
-        (self.decoder, self.failed) = (Decoder::for_responses(MOST_LIST), self.failed + 1);
-        if !goes_on {
-            // Where nothing is known of what the platform counts as told, the whole list is asked for.
-            self.seq = None;
+    /// The connection is closed. True if the watch is to be resumed on a new one at once.
+    pub fn connection_lost(&mut self) -> bool {
+        let resumes_watch = self.known_version.is_some() && self.consecutive_failures == 0;
+        self.watch_was_lost = resumes_watch;
+        (self.decoder, self.consecutive_failures) =
+            (Decoder::for_responses(MAX_LIST_BYTES), self.consecutive_failures + 1);
+        if !resumes_watch {
+            // It is unknown which changes the platform counts as received, so the complete list is requested.
+            self.known_version = None;
         }
-        goes_on
+        resumes_watch
     }
 }
 
--- a/crates/sender/src/list/tests.rs
+++ b/crates/sender/src/list/tests.rs
@@ -1,109 +1,138 @@
 use super::*;
 
-fn answer(status: u16, body: &str) -> Vec<u8> {
+fn response(status: u16, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status} x\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-fn news(seq: u64, whole: bool) -> Vec<u8> {
-    answer(200, &format!("{{\"seq\":{seq},\"whole\":{whole},\"hosts\":[]}}"))
+fn update_response(seq: u64, whole: bool) -> Vec<u8> {
+    response(200, &format!("{{\"seq\":{seq},\"whole\":{whole},\"hosts\":[]}}"))
 }
 
-/// What a silent watch misses counts as told after 6 s where lists are pushed, else 2 s after its wait.
+/// A change missed by a lost watch counts as received after 6 s where lists are pushed, otherwise 2 s after
+/// its wait.
 #[test]
-fn a_silent_call_is_found_inside_its_clock() {
-    let host = SocketAddr::from(([127, 0, 0, 1], 80));
-    for (asked, wait, clock) in [(false, 2.0, 6.0), (true, 20.0, 22.0)] {
-        let mut list = ListClient::new(7, asked);
-        let (call, patience) = list.call(&host);
-        assert!(String::from_utf8(call).unwrap().contains(&format!("since=7&timeout_ms={}", wait * 1e3)));
-        // It goes on over a new connection at once, and that one's answer may be lost too.
-        assert!(wait < patience && patience < clock - 0.5, "{patience} s for a clock of {clock} s");
-        assert!(list.broken() && !list.broken(), "a second silence leads to the whole list");
-        assert!(!asked || list.call(&host).1 <= 1.0);
-        assert!(asked || list.call(&host).1 < 0.5, "an agent is asked again before a drain has to be kept");
+fn a_lost_watch_is_detected_before_its_changes_count_as_received() {
+    let server = SocketAddr::from(([127, 0, 0, 1], 80));
+    for (pulls_list, watch_secs, limit_secs) in [(false, 2.0, 6.0), (true, 20.0, 22.0)] {
+        let mut list = ListClient::new(7, pulls_list);
+        let (next_request, timeout_secs) = list.next_request(&server);
+        assert!(
+            String::from_utf8(next_request)
+                .unwrap()
+                .contains(&format!("since=7&timeout_ms={}", watch_secs * 1e3))
+        );
+        // The watch is resumed on a new connection at once, and that response may be lost, too.
+        assert!(
+            watch_secs < timeout_secs && timeout_secs < limit_secs - 0.5,
+            "{timeout_secs} s for a limit of {limit_secs} s"
+        );
+        assert!(
+            list.connection_lost() && !list.connection_lost(),
+            "a second failure leads to a request for the complete list"
+        );
+        assert!(!pulls_list || list.next_request(&server).1 <= 1.0);
+        assert!(
+            pulls_list || list.next_request(&server).1 < 0.5,
+            "an agent is asked again before a drain has to take effect"
+        );
     }
 }
 
-/// 100 senders that start together and ask for whole lists, each refusal answered with another such call at once,
-/// kept the list service refusing for as long as they lived.
+/// Guards against an overload: 100 senders that started together, requested complete lists and repeated a
+/// refused request at once kept the list service refusing for as long as they ran.
 #[test]
-fn what_is_asked_for_next() {
+fn the_next_request_depends_on_the_last_response() {
     let cases = [
-        ("at the start, what changed since the version already known", vec![], None, Some(7)),
-        ("after an answer, from its version", vec![news(9, false)], Some(Ok(9)), Some(9)),
+        ("at the start, changes since the version already known", vec![], None, Some(7)),
         (
-            "after a refusal, from the version known, and not at once",
-            vec![answer(503, "")],
+            "after a response, changes since its version",
+            vec![update_response(9, false)],
+            Some(Ok(9)),
+            Some(9),
+        ),
+        (
+            "after a refusal, changes since the known version, and not at once",
+            vec![response(503, "")],
             Some(Err(ListError::Refused)),
             Some(7),
         ),
         (
-            "the same for the other refusal",
-            vec![news(8, true), answer(429, "later")],
+            "the same for the other refusal status",
+            vec![update_response(8, true), response(429, "later")],
             Some(Err(ListError::Refused)),
             Some(8),
         ),
         (
-            "after garbage, the whole list",
-            vec![answer(200, "{")],
+            "after an invalid response, the complete list",
+            vec![response(200, "{")],
+            Some(Err(ListError::InvalidResponse)),
+            None,
+        ),
+        (
+            "the same after an error status",
+            vec![response(500, "")],
             Some(Err(ListError::InvalidResponse)),
             None,
         ),
-        ("the same after an error", vec![answer(500, "")], Some(Err(ListError::InvalidResponse)), None),
         (
-            "and where versions are counted anew",
-            vec![news(3, false)],
+            "the same if the version decreases",
+            vec![update_response(3, false)],
             Some(Err(ListError::InvalidResponse)),
             None,
         ),
-        ("but a whole list may be of any version", vec![news(3, true)], Some(Ok(3)), Some(3)),
+        ("a complete list may have any version", vec![update_response(3, true)], Some(Ok(3)), Some(3)),
     ];
-    for (name, answers, last, since) in cases {
+    for (name, responses, expected, expected_version) in cases {
         let mut list = ListClient::new(7, true);
-        let mut heard = None;
-        for a in answers {
-            heard = Some(list.feed(&a).map(|got| got.unwrap().0.version));
+        let mut received = None;
+        for response in responses {
+            received = Some(list.feed(&response).map(|received| received.unwrap().0.version));
         }
-        assert_eq!(heard, last, "{name}");
-        match last {
-            Some(Err(ListError::Refused)) => list.refused(),
-            // The first time it goes on over a new connection, the second time nothing is taken for known.
+        assert_eq!(received, expected, "{name}");
+        match expected {
+            Some(Err(ListError::Refused)) => list.request_refused(),
+            // The first failure resumes the watch on a new connection, the second one discards the known
+            // version.
             Some(Err(ListError::InvalidResponse)) => {
-                assert_eq!((list.broken(), list.broken()), (true, false), "{name}")
+                assert_eq!((list.connection_lost(), list.connection_lost()), (true, false), "{name}")
             }
             _ => {}
         }
-        assert_eq!(list.version(), since, "{name}");
+        assert_eq!(list.known_version(), expected_version, "{name}");
     }
 }
 
-/// Crowds that are refused have to spread.
+/// Senders that are refused together have to spread their retries.
 const _: () = assert!(MAX_PULL_PAUSE_SECS >= 1.0);
 
-/// The worst case as a sum: the call that was out when discovery could be reached again, the pause, the next call.
+/// The worst case: the timeout of the request in flight when discovery could be reached again, the pause, and
+/// the timeout of the next request.
 #[test]
-fn a_change_after_a_failed_call_is_told_inside_one_clock() {
-    let host = SocketAddr::from(([127, 0, 0, 1], 80));
-    for (asked, longest_pause) in [(false, 0.1), (true, MAX_PULL_PAUSE_SECS)] {
-        for fails in [ListClient::refused as fn(&mut ListClient), |list| _ = list.broken()] {
-            let mut list = ListClient::new(7, asked);
-            let watch = list.call(&host).1;
-            for failed in 1..5 {
-                fails(&mut list);
-                let given_up = list.call(&host).1;
-                let sum = given_up + longest_pause + given_up;
-                assert!(sum <= CHANGE_DEADLINE_SECS - 0.5, "{sum} s after {failed} failures");
+fn changes_after_a_failed_request_arrive_before_their_deadline() {
+    let server = SocketAddr::from(([127, 0, 0, 1], 80));
+    for (pulls_list, max_pause_secs) in [(false, 0.1), (true, MAX_PULL_PAUSE_SECS)] {
+        for fail in [ListClient::request_refused as fn(&mut ListClient), |list| _ = list.connection_lost()] {
+            let mut list = ListClient::new(7, pulls_list);
+            let watch_timeout = list.next_request(&server).1;
+            for failures in 1..5 {
+                fail(&mut list);
+                let retry_timeout = list.next_request(&server).1;
+                let total_secs = retry_timeout + max_pause_secs + retry_timeout;
+                assert!(total_secs <= CHANGE_DEADLINE_SECS - 0.5, "{total_secs} s after {failures} failures");
             }
-            // Once there is an answer the next call is a watch again.
-            list.feed(&news(9, true)).unwrap();
-            assert_eq!(list.call(&host).1, watch);
+            // After a successful response the next request is a watch again.
+            list.feed(&update_response(9, true)).unwrap();
+            assert_eq!(list.next_request(&server).1, watch_timeout);
         }
-        // Where lists are pushed, a watch that falls silent fits in as well; else it has 2 s from the end of its wait.
-        let mut list = ListClient::new(7, asked);
-        let watch = list.call(&host).1;
-        assert!(list.broken());
-        let (sum, clock) =
-            (watch + list.call(&host).1, if asked { 22.0 } else { CHANGE_DEADLINE_SECS - 0.5 });
-        assert!(sum <= clock + 1e-9, "{sum} s for a silent watch");
+        // Where lists are pushed, this includes a lost watch; otherwise that one has 2 s from the end of its
+        // wait.
+        let mut list = ListClient::new(7, pulls_list);
+        let watch_timeout = list.next_request(&server).1;
+        assert!(list.connection_lost());
+        let (total_secs, limit_secs) = (
+            watch_timeout + list.next_request(&server).1,
+            if pulls_list { 22.0 } else { CHANGE_DEADLINE_SECS - 0.5 },
+        );
+        assert!(total_secs <= limit_secs + 1e-9, "{total_secs} s for a lost watch");
     }
 }
