--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration that the platform hands a sender, checked, and handed on to the decision module.
+//! The configuration that the platform provides to a sender: reading it, checking it, and applying it to the
+//! decision module.
 
 use crate::list::{self, EndpointListUpdate};
 use scalebarrow::{RepeatSafety, Sender};
@@ -8,141 +9,188 @@
 use std::path::Path;
 use tracing::warn;
 
-/// The configuration, as the platform writes it.
+/// The configuration in the format of the platform.
 #[derive(Debug, Deserialize)]
 pub struct Config {
     /// The sender's name, for the log.
     pub name: String,
-    /// Where clients reach it.
+    /// The address on which clients connect.
     pub listen: SocketAddr,
-    /// Where the platform's list is asked for and notices are sent.
+    /// The address of the discovery service, which has the endpoint list and receives notices.
     pub discovery: SocketAddr,
-    /// Where chance begins.
-    #[serde(deserialize_with = "hex")]
+    /// The seed of the random number generator.
+    #[serde(deserialize_with = "deserialize_hex")]
     pub seed: u64,
-    /// What it may use.
+    /// Resource limits of the process.
     pub limits: Limits,
-    /// The list of endpoints as it was known last.
+    /// The endpoint list as last known.
     #[serde(rename = "known")]
     pub known_list: EndpointListUpdate,
-    /// What the decision module is told.
+    /// The settings of the decision module.
     pub settings: Settings,
 }
 
-/// What the process may use.
+/// Resource limits of the process.
 #[derive(Debug, Deserialize)]
 pub struct Limits {
-    /// Descriptors.
+    /// The maximum number of descriptors.
     #[serde(rename = "sockets")]
     pub max_descriptors: usize,
-    /// Megabytes that the folder may hold.
+    /// The maximum size of the state directory, in megabytes.
     pub disk_mb: f64,
-    /// Megabytes of memory, where there is a limit.
+    /// The memory limit in megabytes, if there is one.
     pub memory_mb: Option<f64>,
 }
 
-/// What the decision module is told.
+/// The settings of the decision module.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Settings {
-    caps: Caps,
-    classes: Vec<EventType>,
-    family_info: FamilyInfo,
-    #[serde(default)]
-    deductions: Option<Deductions>,
-    instances: u64,
+    #[serde(rename = "caps")]
+    call_limits: CallLimits,
+    #[serde(rename = "classes")]
+    event_types: Vec<EventType>,
+    #[serde(rename = "family-info")]
+    delivery: DeliverySettings,
+    #[serde(rename = "deductions", default)]
+    route_costs: Option<RouteCosts>,
+    /// The number of senders.
+    #[serde(rename = "instances")]
+    sender_count: u64,
     /// The zone that this sender runs in.
-    #[serde(default)]
-    locality: Option<String>,
-    me: u64,
-    #[serde(default)]
-    membership_mode: Option<Membership>,
-    #[serde(default)]
-    models: Vec<String>,
-    #[serde(default)]
-    orgs: Vec<Customer>,
-    #[serde(default)]
-    over_share_worth: Option<f64>,
+    #[serde(rename = "locality", default)]
+    own_zone: Option<String>,
+    /// The number of this sender among all senders.
+    #[serde(rename = "me")]
+    sender_index: u64,
+    #[serde(rename = "membership-mode", default)]
+    list_mode: Option<ListMode>,
+    #[serde(rename = "models", default)]
+    destination_kinds: Vec<String>,
+    #[serde(rename = "orgs", default)]
+    customers: Vec<Customer>,
+    /// The weight of the value of webhooks beyond their customer's quota.
+    #[serde(rename = "over-share-worth", default)]
+    over_quota_weight: Option<f64>,
     #[serde(default)]
     report: Report,
-    rules: Rules,
-    #[serde(default)]
-    weights: Option<Weights>,
+    #[serde(rename = "rules")]
+    timing: TimingRules,
+    #[serde(rename = "weights", default)]
+    listed_rates: Option<ListedRates>,
     #[serde(default)]
     zones: Vec<String>,
 }
 
-/// What the list tells beside an endpoint as its rate.
+/// What the rate of an endpoint in the list means.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum Weights {
-    /// Nothing: what stands there says nothing of the destination.
+enum ListedRates {
+    /// Nothing: the value is not related to what the destination can handle.
     None,
     Nominal,
     Rough,
     Live,
 }
 
+/// The costs of routes to endpoints.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-struct Deductions {
+struct RouteCosts {
+    /// The cost of a call to another zone.
     cross_zone: Option<f64>,
 }
 
+/// Limits for webhooks, attempts and connections.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-struct Caps {
-    cancelling: bool,
-    conn_idle_ms: Option<f64>,
+struct CallLimits {
+    #[serde(rename = "cancelling")]
+    may_cancel: bool,
+    /// How long endpoints keep an idle connection open.
+    #[serde(rename = "conn-idle-ms")]
+    connection_idle_ms: Option<f64>,
     connect_timeout_ms: Option<f64>,
     max_attempts: u32,
     max_retry_after_ms: Option<f64>,
-    open_cap: usize,
-    #[serde(default)]
-    retry_after: bool,
+    /// Accepted webhooks without a final answer, at most.
+    #[serde(rename = "open-cap")]
+    max_pending: usize,
+    /// Clients heed a `Retry-After` header.
+    #[serde(rename = "retry-after", default)]
+    heeds_retry_after: bool,
 }
 
+/// An event type, with its target latency, TTL and value.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct EventType {
     name: String,
-    aim_ms: f64,
-    deadline_ms: f64,
-    worth: Option<f64>,
-    late_value: Option<f64>,
-    effect: RepeatEffect,
-    group: Option<String>,
-    repeat_window_ms: Option<f64>,
-    #[serde(default)]
-    fifo_by_key: bool,
+    #[serde(rename = "aim-ms")]
+    target_latency_ms: f64,
+    #[serde(rename = "deadline-ms")]
+    ttl_ms: f64,
+    #[serde(rename = "worth")]
+    value: Option<f64>,
+    /// The share of the value that is left at the end of the TTL.
+    #[serde(rename = "late-value")]
+    late_value_share: Option<f64>,
+    #[serde(rename = "effect")]
+    repeat_effect: RepeatEffect,
+    /// `all` if all endpoints of a destination recognize a repeat, otherwise those of one zone do.
+    #[serde(rename = "group")]
+    token_scope: Option<String>,
+    /// How long endpoints recognize a repeat.
+    #[serde(rename = "repeat-window-ms")]
+    token_lifetime_ms: Option<f64>,
+    #[serde(rename = "fifo-by-key", default)]
+    ordered_by_key: bool,
 }
 
+/// The effect of delivering a webhook twice.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum RepeatEffect {
-    Free,
-    Guarded,
-    SingleShot,
+    /// None: the webhook is idempotent.
+    #[serde(rename = "free")]
+    Idempotent,
+    /// None while endpoints recognize its idempotency key.
+    #[serde(rename = "guarded")]
+    Tokened,
+    /// It takes effect twice, so it must be delivered at most once.
+    #[serde(rename = "single_shot")]
+    AtMostOnce,
 }
 
+/// How the sender receives the endpoint list.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum Membership {
+enum ListMode {
+    /// It is pushed to a local agent.
     Push,
-    Ask,
+    /// It has to be pulled from the platform.
+    #[serde(rename = "ask")]
+    Pull,
 }
 
+/// How webhooks are delivered to the kinds of destinations.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-struct FamilyInfo {
-    #[serde(default)]
-    bundle_max: Vec<usize>,
-    decay: Option<String>,
-    #[serde(default)]
-    routes_apart: Vec<bool>,
+struct DeliverySettings {
+    /// The maximum number of webhooks in one call, by the position of the destination kind.
+    #[serde(rename = "bundle-max", default)]
+    max_batches: Vec<usize>,
+    /// `by_half` if the value of a late webhook halves with each further target latency.
+    #[serde(rename = "decay")]
+    value_decay: Option<String>,
+    /// Whether the endpoints of a destination are independent, by the position of the destination kind.
+    #[serde(rename = "routes-apart", default)]
+    independent_endpoints: Vec<bool>,
+    /// Calls in flight at most.
     slots: usize,
 }
 
+/// A customer with its quota of webhooks per second.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct Customer {
@@ -150,40 +198,57 @@
     quota_per_s: Option<f64>,
 }
 
+/// How endpoints report the state of their rate limit.
 #[derive(Debug, Default, Deserialize)]
 struct Report {
-    #[serde(default)]
-    how: String,
+    /// `answers` if reports are part of their responses.
+    #[serde(rename = "how", default)]
+    channel: String,
 }
 
+/// Rules for list requests, cold destinations and ordering keys.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-struct Rules {
-    ask_within_ms: Option<f64>,
-    cold_from: Option<f64>,
-    cold_ms: Option<f64>,
-    fall_multiple: Option<f64>,
-    tip_after_ms: Option<f64>,
-    key_rest_ms: Option<f64>,
+struct TimingRules {
+    /// How long a sender may go without requesting the list.
+    #[serde(rename = "ask-within-ms")]
+    max_list_interval_ms: Option<f64>,
+    /// The share of its capacity that a cold destination has at first.
+    #[serde(rename = "cold-from")]
+    cold_initial_share: Option<f64>,
+    /// How long a destination is cold.
+    #[serde(rename = "cold-ms")]
+    cold_warm_up_ms: Option<f64>,
+    /// The multiple of its capacity at which a destination fails.
+    #[serde(rename = "fall-multiple")]
+    overload_multiple: Option<f64>,
+    /// How long such an overload lasts before the destination fails.
+    #[serde(rename = "tip-after-ms")]
+    overload_span_ms: Option<f64>,
+    /// How long an ordering key is paused after an attempt that may still run.
+    #[serde(rename = "key-rest-ms")]
+    key_cooldown_ms: Option<f64>,
 }
 
 impl Limits {
-    /// What the folder may hold, in bytes.
+    /// The maximum size of the state directory, in bytes.
     pub fn disk_bytes(&self) -> usize {
         (self.disk_mb * 1e6) as usize
     }
 }
 
-fn hex<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
-    let text = String::deserialize(from)?;
+/// Reads a number from a string of hex digits.
+fn deserialize_hex<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
+    let text = String::deserialize(deserializer)?;
     u64::from_str_radix(&text, 16).map_err(|_| D::Error::custom("must be up to 16 hex digits"))
 }
 
-/// What stands for a time or rate without bound: its square is still a number.
+/// Stands for an unlimited time or rate. Its square is still finite.
 const UNBOUNDED: f64 = 1e150;
 
-fn seconds(ms: Option<f64>, or: f64) -> f64 {
-    ms.map_or(or, |ms| ms / 1e3)
+/// Converts milliseconds to seconds; without a value, returns the default in seconds.
+fn seconds_or(milliseconds: Option<f64>, default: f64) -> f64 {
+    milliseconds.map_or(default, |milliseconds| milliseconds / 1e3)
 }
 
 impl Config {
@@ -193,182 +258,230 @@
         Self::decode(&bytes)
     }
 
-    /// Reads it again while it serves. Where it listens and what it is called cannot change then.
+    /// Reads the file again at run time. Changes of some fields, such as the address and the name, are logged
+    /// and take effect only at the next start.
     pub fn reload(&self, path: &Path) -> Result<Config, String> {
-        let new = Self::read(path)?;
-        let weights = new.settings.weights == self.settings.weights;
-        for (field, same) in [
-            ("listen", new.listen == self.listen),
-            ("name", new.name == self.name),
-            ("settings.weights", weights),
-            ("settings.deductions.cross-zone", new.crossing_cost() == self.crossing_cost()),
+        let reloaded = Self::read(path)?;
+        let same_listed_rates = reloaded.settings.listed_rates == self.settings.listed_rates;
+        for (field, is_unchanged) in [
+            ("listen", reloaded.listen == self.listen),
+            ("name", reloaded.name == self.name),
+            ("settings.weights", same_listed_rates),
+            ("settings.deductions.cross-zone", reloaded.cross_zone_cost() == self.cross_zone_cost()),
         ] {
-            if !same {
-                warn!(code = "config-later", field, "a changed value counts from the next start");
+            if !is_unchanged {
+                warn!(code = "config-later", field, "the changed value takes effect at the next start");
             }
         }
-        Ok(new)
+        Ok(reloaded)
     }
 
     /// Reads and checks the text of a configuration; the error names the field.
     pub fn decode(bytes: &[u8]) -> Result<Config, String> {
-        let mut from = serde_json::Deserializer::from_slice(bytes);
-        let config: Config = serde_path_to_error::deserialize(&mut from)
+        let mut deserializer = serde_json::Deserializer::from_slice(bytes);
+        let config: Config = serde_path_to_error::deserialize(&mut deserializer)
             .map_err(|e| format!("{}: {}", e.path(), e.inner()))?;
-        from.end().map_err(|e| format!("after the end: {e}"))?;
-        config.check().map_err(|(field, why)| format!("{field}: {why}"))?;
+        deserializer.end().map_err(|e| format!("trailing data: {e}"))?;
+        config.check().map_err(|(field, problem)| format!("{field}: {problem}"))?;
         Ok(config)
     }
 
+    /// Checks the values; the error is the field and what is wrong with it.
     fn check(&self) -> Result<(), (String, &'static str)> {
-        let s = &self.settings;
-        let at = |field: &str, ok: bool, why| if ok { Ok(()) } else { Err((field.to_owned(), why)) };
-        at("limits.sockets", self.limits.max_descriptors >= 64, "must be 64 at least")?;
-        at("limits.disk_mb", self.limits.disk_mb >= 0.25, "must be 0.25 at least")?;
-        at("limits.memory_mb", self.limits.memory_mb.is_none_or(|m| m >= 32.0), "must be 32 at least")?;
-        at("settings.instances", s.instances > 0, "must be above zero")?;
-        at("settings.classes", !s.classes.is_empty(), "names no event type")?;
-        at("settings.family-info.slots", s.family_info.slots > 0, "must be above zero")?;
-        at("settings.caps.open-cap", s.caps.open_cap > 0, "must be above zero")?;
-        at("settings.caps.max-attempts", s.caps.max_attempts > 0, "must be above zero")?;
-        let field = |i: usize, name: &str| format!("settings.classes[{i}].{name}");
-        for (i, c) in s.classes.iter().enumerate() {
-            at(&field(i, "deadline-ms"), c.deadline_ms > 0.0, "must be above zero")?;
-            let name = !c.name.is_empty() && !c.name.contains('/') && c.name != "ready";
-            at(&field(i, "name"), name, "cannot be the first part of a path")?;
+        let settings = &self.settings;
+        let require = |field: &str, is_valid: bool, problem| {
+            if is_valid { Ok(()) } else { Err((field.to_owned(), problem)) }
+        };
+        require("limits.sockets", self.limits.max_descriptors >= 64, "must be at least 64")?;
+        require("limits.disk_mb", self.limits.disk_mb >= 0.25, "must be at least 0.25")?;
+        require(
+            "limits.memory_mb",
+            self.limits.memory_mb.is_none_or(|megabytes| megabytes >= 32.0),
+            "must be at least 32",
+        )?;
+        require("settings.instances", settings.sender_count > 0, "must be greater than zero")?;
+        require("settings.classes", !settings.event_types.is_empty(), "must name at least one event type")?;
+        require("settings.family-info.slots", settings.delivery.slots > 0, "must be greater than zero")?;
+        require("settings.caps.open-cap", settings.call_limits.max_pending > 0, "must be greater than zero")?;
+        require(
+            "settings.caps.max-attempts",
+            settings.call_limits.max_attempts > 0,
+            "must be greater than zero",
+        )?;
+        let field = |index: usize, name: &str| format!("settings.classes[{index}].{name}");
+        for (index, event_type) in settings.event_types.iter().enumerate() {
+            require(&field(index, "deadline-ms"), event_type.ttl_ms > 0.0, "must be greater than zero")?;
+            let is_path_segment =
+                !event_type.name.is_empty() && !event_type.name.contains('/') && event_type.name != "ready";
+            require(&field(index, "name"), is_path_segment, "must be a path segment other than `ready`")?;
             for (name, value) in [
-                ("aim-ms", Some(c.aim_ms)),
-                ("worth", c.worth),
-                ("late-value", c.late_value),
-                ("repeat-window-ms", c.repeat_window_ms),
+                ("aim-ms", Some(event_type.target_latency_ms)),
+                ("worth", event_type.value),
+                ("late-value", event_type.late_value_share),
+                ("repeat-window-ms", event_type.token_lifetime_ms),
             ] {
-                at(&field(i, name), value.is_none_or(|v| v >= 0.0), "is below zero")?;
+                require(&field(index, name), value.is_none_or(|value| value >= 0.0), "must not be negative")?;
             }
         }
         for (name, value) in [
-            ("caps.conn-idle-ms", s.caps.conn_idle_ms),
-            ("caps.connect-timeout-ms", s.caps.connect_timeout_ms),
-            ("caps.max-retry-after-ms", s.caps.max_retry_after_ms),
-            ("deductions.cross-zone", s.deductions.as_ref().and_then(|d| d.cross_zone)),
-            ("over-share-worth", s.over_share_worth),
-            ("rules.ask-within-ms", s.rules.ask_within_ms),
-            ("rules.cold-from", s.rules.cold_from),
-            ("rules.cold-ms", s.rules.cold_ms),
-            ("rules.fall-multiple", s.rules.fall_multiple),
-            ("rules.tip-after-ms", s.rules.tip_after_ms),
-            ("rules.key-rest-ms", s.rules.key_rest_ms),
+            ("caps.conn-idle-ms", settings.call_limits.connection_idle_ms),
+            ("caps.connect-timeout-ms", settings.call_limits.connect_timeout_ms),
+            ("caps.max-retry-after-ms", settings.call_limits.max_retry_after_ms),
+            ("deductions.cross-zone", settings.route_costs.as_ref().and_then(|costs| costs.cross_zone)),
+            ("over-share-worth", settings.over_quota_weight),
+            ("rules.ask-within-ms", settings.timing.max_list_interval_ms),
+            ("rules.cold-from", settings.timing.cold_initial_share),
+            ("rules.cold-ms", settings.timing.cold_warm_up_ms),
+            ("rules.fall-multiple", settings.timing.overload_multiple),
+            ("rules.tip-after-ms", settings.timing.overload_span_ms),
+            ("rules.key-rest-ms", settings.timing.key_cooldown_ms),
         ] {
-            at(&format!("settings.{name}"), value.is_none_or(|v| v >= 0.0), "is below zero")?;
+            require(
+                &format!("settings.{name}"),
+                value.is_none_or(|value| value >= 0.0),
+                "must not be negative",
+            )?;
         }
-        // Ways are priced, but from where is not told: the sender would take all of them for crossings.
-        let own = s.locality.as_ref().is_some_and(|own| s.zones.contains(own));
-        at("settings.locality", self.crossing_cost() == 0.0 || own, "is none of the zones")?;
+        // Calls to other zones have a cost, but the own zone is not among the zones: every call would count
+        // as cross-zone.
+        let is_listed = settings.own_zone.as_ref().is_some_and(|zone| settings.zones.contains(zone));
+        require("settings.locality", self.cross_zone_cost() == 0.0 || is_listed, "must be one of the zones")?;
         Ok(())
     }
 
-    /// The module with all its settings, at clock time `now`.
+    /// Creates the decision module with all its settings, at clock time `now`.
     pub fn create_sender(&self, now: f64) -> Sender {
-        let mut sender = Sender::new(now, self.seed, self.settings.me, self.settings.instances);
+        let mut sender = Sender::new(now, self.seed, self.settings.sender_index, self.settings.sender_count);
         self.apply_to(&mut sender);
         sender
     }
 
-    /// Tells the module the settings, at the start or when they were read again.
+    /// Applies the settings to the decision module, at the start or after a reload.
     pub fn apply_to(&self, sender: &mut Sender) {
-        let s = &self.settings;
-        let halves = s.family_info.decay.as_deref() == Some("by_half");
-        for c in &s.classes {
-            let (target, ttl) = (c.aim_ms / 1e3, c.deadline_ms / 1e3);
-            let (value, late) = (c.worth.unwrap_or(1.0), c.late_value.unwrap_or(0.0));
-            sender.set_event_type(&c.name, target, ttl, value, late, halves);
-            let effect = match c.effect {
-                RepeatEffect::Free => RepeatSafety::Idempotent,
-                RepeatEffect::Guarded => RepeatSafety::Tokened,
-                RepeatEffect::SingleShot => RepeatSafety::AtMostOnce,
+        let settings = &self.settings;
+        let value_halves = settings.delivery.value_decay.as_deref() == Some("by_half");
+        for event_type in &settings.event_types {
+            let (target_latency, ttl) = (event_type.target_latency_ms / 1e3, event_type.ttl_ms / 1e3);
+            let (value, late_value_share) =
+                (event_type.value.unwrap_or(1.0), event_type.late_value_share.unwrap_or(0.0));
+            sender.set_event_type(
+                &event_type.name,
+                target_latency,
+                ttl,
+                value,
+                late_value_share,
+                value_halves,
+            );
+            let repeat_safety = match event_type.repeat_effect {
+                RepeatEffect::Idempotent => RepeatSafety::Idempotent,
+                RepeatEffect::Tokened => RepeatSafety::Tokened,
+                RepeatEffect::AtMostOnce => RepeatSafety::AtMostOnce,
             };
-            let known_by_all = c.group.as_deref() == Some("all");
+            let token_shared_by_zones = event_type.token_scope.as_deref() == Some("all");
             sender.set_repeat_safety(
-                &c.name,
-                effect,
-                seconds(c.repeat_window_ms, 0.0),
-                known_by_all,
-                c.fifo_by_key,
+                &event_type.name,
+                repeat_safety,
+                seconds_or(event_type.token_lifetime_ms, 0.0),
+                token_shared_by_zones,
+                event_type.ordered_by_key,
             );
         }
-        for (i, kind) in s.models.iter().enumerate() {
-            let batch = s.family_info.bundle_max.get(i).copied().unwrap_or(1);
-            let apart = s.family_info.routes_apart.get(i).copied().unwrap_or(false);
-            sender.set_destination_kind(kind, batch, apart);
+        for (index, destination_kind) in settings.destination_kinds.iter().enumerate() {
+            let max_batch = settings.delivery.max_batches.get(index).copied().unwrap_or(1);
+            let independent = settings.delivery.independent_endpoints.get(index).copied().unwrap_or(false);
+            sender.set_destination_kind(destination_kind, max_batch, independent);
         }
-        for zone in &s.zones {
-            let own = s.locality.as_ref() == Some(zone);
-            sender.set_zone_cost(zone, if own { 0.0 } else { self.crossing_cost() });
+        for zone in &settings.zones {
+            let is_own_zone = settings.own_zone.as_ref() == Some(zone);
+            sender.set_zone_cost(zone, if is_own_zone { 0.0 } else { self.cross_zone_cost() });
         }
-        for customer in &s.orgs {
+        for customer in &settings.customers {
             let quota = customer.quota_per_s.unwrap_or(UNBOUNDED);
-            sender.set_customer(&customer.name, quota, s.over_share_worth.unwrap_or(1.0));
+            sender.set_customer(&customer.name, quota, settings.over_quota_weight.unwrap_or(1.0));
         }
-        sender.set_limits(s.family_info.slots, s.caps.open_cap, s.caps.max_attempts, s.caps.cancelling);
-        if s.caps.retry_after {
-            sender.set_max_retry_after(seconds(s.caps.max_retry_after_ms, 0.0));
+        sender.set_limits(
+            settings.delivery.slots,
+            settings.call_limits.max_pending,
+            settings.call_limits.max_attempts,
+            settings.call_limits.may_cancel,
+        );
+        if settings.call_limits.heeds_retry_after {
+            sender.set_max_retry_after(seconds_or(settings.call_limits.max_retry_after_ms, 0.0));
         }
-        sender.set_idle_timeout(seconds(s.caps.conn_idle_ms, UNBOUNDED));
+        sender.set_idle_timeout(seconds_or(settings.call_limits.connection_idle_ms, UNBOUNDED));
         sender.set_list_watch(
             self.pulls_list(),
-            seconds(s.rules.ask_within_ms, 10.0),
+            seconds_or(settings.timing.max_list_interval_ms, 10.0),
             list::MAX_PULL_PAUSE_SECS,
         );
-        let (from, warm) = (s.rules.cold_from.unwrap_or(1.0), seconds(s.rules.cold_ms, 0.0));
-        let multiple = s.rules.fall_multiple.unwrap_or(1e9);
-        sender.set_cold_start(from, warm, multiple, seconds(s.rules.tip_after_ms, 1.0));
-        sender.set_key_cooldown(seconds(s.rules.key_rest_ms, 0.0));
+        let (initial_share, warm_up) = (
+            settings.timing.cold_initial_share.unwrap_or(1.0),
+            seconds_or(settings.timing.cold_warm_up_ms, 0.0),
+        );
+        let overload_multiple = settings.timing.overload_multiple.unwrap_or(1e9);
+        sender.set_cold_start(
+            initial_share,
+            warm_up,
+            overload_multiple,
+            seconds_or(settings.timing.overload_span_ms, 1.0),
+        );
+        sender.set_key_cooldown(seconds_or(settings.timing.key_cooldown_ms, 0.0));
     }
 
-    /// Calls out at once and webhooks held, at most, and the number of senders: for the log.
+    /// The maximum numbers of calls in flight and of pending webhooks, and the number of senders.
     pub fn capacity(&self) -> (usize, usize, u64) {
-        (self.settings.family_info.slots, self.settings.caps.open_cap, self.settings.instances)
+        (self.settings.delivery.slots, self.settings.call_limits.max_pending, self.settings.sender_count)
     }
 
-    /// The list of endpoints comes only when it is asked for.
+    /// True if the endpoint list has to be pulled from the platform, false if it is pushed.
     pub fn pulls_list(&self) -> bool {
-        self.settings.membership_mode == Some(Membership::Ask)
+        self.settings.list_mode == Some(ListMode::Pull)
     }
 
-    /// What a call to another zone costs.
-    fn crossing_cost(&self) -> f64 {
-        self.settings.deductions.as_ref().and_then(|d| d.cross_zone).unwrap_or(0.0)
+    /// The cost of a call to another zone.
+    fn cross_zone_cost(&self) -> f64 {
+        self.settings.route_costs.as_ref().and_then(|costs| costs.cross_zone).unwrap_or(0.0)
     }
 
-    /// The list tells what destinations take; where it is not said what it tells, it does.
+    /// True if the rates in the list are those of the destinations, which is the default.
     pub fn list_has_rates(&self) -> bool {
-        self.settings.weights != Some(Weights::None)
+        self.settings.listed_rates != Some(ListedRates::None)
     }
 
-    /// Answers of endpoints carry reports.
+    /// True if responses of endpoints carry reports on the state of their rate limit.
     pub fn responses_carry_reports(&self) -> bool {
-        self.settings.report.how == "answers"
+        self.settings.report.channel == "answers"
     }
 
     /// The names of the event types.
     pub fn event_types(&self) -> BTreeSet<String> {
-        self.settings.classes.iter().map(|c| c.name.clone()).collect()
+        self.settings.event_types.iter().map(|event_type| event_type.name.clone()).collect()
     }
 
-    /// Webhooks of an event type with one order key go one at a time.
+    /// True if webhooks of an event type that share an ordering key are delivered one at a time.
     pub fn is_ordered(&self, event_type: &str) -> bool {
-        self.settings.classes.iter().any(|c| c.name == event_type && c.fifo_by_key)
+        self.settings
+            .event_types
+            .iter()
+            .any(|known_type| known_type.name == event_type && known_type.ordered_by_key)
     }
 
-    /// Webhooks in one call at most, for a kind of destination.
-    pub fn max_batch(&self, kind: &str) -> usize {
-        let at = self.settings.models.iter().position(|m| m == kind);
-        at.and_then(|i| self.settings.family_info.bundle_max.get(i)).map_or(1, |b| (*b).max(1))
+    /// The maximum number of webhooks in one call to a kind of destination.
+    pub fn max_batch(&self, destination_kind: &str) -> usize {
+        let position =
+            self.settings.destination_kinds.iter().position(|known_kind| known_kind == destination_kind);
+        position
+            .and_then(|index| self.settings.delivery.max_batches.get(index))
+            .map_or(1, |max_batch| (*max_batch).max(1))
     }
 
-    /// How long an unused connection to an endpoint stays open, and how long one may take to come up.
+    /// How long an idle connection to an endpoint stays open, and how long opening one may take.
     pub fn connection_timeouts_secs(&self) -> (f64, f64) {
-        let caps = &self.settings.caps;
-        // Without a setting, as long as common systems wait for an answer to the first packet.
-        (seconds(caps.conn_idle_ms, UNBOUNDED), seconds(caps.connect_timeout_ms, 10.0))
+        let call_limits = &self.settings.call_limits;
+        // The default connect timeout is how long common systems wait for the response to the first packet.
+        (
+            seconds_or(call_limits.connection_idle_ms, UNBOUNDED),
+            seconds_or(call_limits.connect_timeout_ms, 10.0),
+        )
     }
 }
--- a/crates/sender/src/driver/connection.rs
+++ b/crates/sender/src/driver/connection.rs
@@ -38,7 +38,7 @@
     /// It was closed, or is about to be, while it was idle.
     Stale,
     /// The peer sent a message that was not requested.
-    Unsolicited,
+    Unexpected,
 }
 
 impl CloseReason {
@@ -58,7 +58,7 @@
             CloseReason::Refused => "refused",
             CloseReason::Timeout => "silent",
             CloseReason::Stale => "stale",
-            CloseReason::Unsolicited => "unasked",
+            CloseReason::Unexpected => "unasked",
         }
     }
 }
--- a/crates/sender/src/driver/endpoints.rs
+++ b/crates/sender/src/driver/endpoints.rs
@@ -182,9 +182,7 @@
         let Peer::Endpoint(endpoint) = &mut connection.peer else { return };
         match response {
             Some(Ok(response)) => {
-                let Some(call) = endpoint.call.take() else {
-                    return self.close(id, CloseReason::Unsolicited);
-                };
+                let Some(call) = endpoint.call.take() else { return self.close(id, CloseReason::Unexpected) };
                 let is_reusable = close_reason.is_none()
                     && response.keep_alive
                     && call.written
@@ -209,7 +207,7 @@
                 if let Some(reason) = close_reason {
                     self.abort_call(id, Outcome::Reset, reason);
                 } else if endpoint.call.is_none() && !endpoint.decoder.is_between_messages() {
-                    self.close(id, CloseReason::Unsolicited);
+                    self.close(id, CloseReason::Unexpected);
                 } else if !endpoint.decoder.is_between_messages() {
                     self.set_deadline(id, deadline);
                 }
--- a/crates/sender/src/driver/signals.rs
+++ b/crates/sender/src/driver/signals.rs
@@ -91,13 +91,7 @@
         while matches!(self.reload_signals.read(&mut [0; 64]), Ok(count) if count > 0) {}
         let config = match self.bridge.config().reload(&self.config_path) {
             Ok(config) => config,
-            Err(error) => {
-                return warn!(
-                    code = "config-kept",
-                    why = error,
-                    "keeping the old configuration: the new one is invalid"
-                );
-            }
+            Err(error) => return warn!(code = "config-kept", why = error, "keeping the old configuration"),
         };
         (self.max_clients, self.max_endpoints) = max_connections(&config.limits);
         self.max_buffered_bytes = max_buffered_bytes(&config.limits);
--- a/crates/sender/src/list.rs
+++ b/crates/sender/src/list.rs
@@ -10,7 +10,8 @@
 /// How long the server may hold a watch (a request for changes) without changes. Where lists are pushed, a
 /// local agent answers at no cost, and its changes count as received whether or not a watch is open: a lost
 /// watch has to be detected soon. Where lists are pulled, each request costs the platform, and a change
-/// missed by a lost watch counts as received 2 s after the wait ends: a third of what the platform allows.
+/// missed by a lost watch counts as received 2 s after the wait ends, so the wait is a third of what the
+/// platform allows.
 const PUSH_WATCH_MS: u64 = 2_000;
 const PULL_WATCH_MS: u64 = 20_000;
 /// The same for a request after a failure: missed changes are sent at once, so a response without
--- a/crates/sender/src/main.rs
+++ b/crates/sender/src/main.rs
@@ -11,23 +11,23 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 enum Command {
-    /// Take webhooks and deliver them, until SIGTERM; SIGHUP reads the configuration again
+    /// Accept webhooks and deliver them until SIGTERM; SIGHUP reloads the configuration
     #[bpaf(command)]
     Serve {
-        /// The configuration
+        /// The configuration file
         #[bpaf(long, env("LB_CONFIG"), argument("FILE"))]
         config: PathBuf,
-        /// The folder that outlives the process
+        /// The directory for the state that is kept across restarts
         #[bpaf(long, env("LB_STATE"), argument("DIR"))]
         state: PathBuf,
-        /// The least that is logged: error, warn, info, or debug, which follows each attempt
+        /// The log level: error, warn, info, or debug, which logs each attempt
         #[bpaf(long, argument("LEVEL"), fallback(LevelFilter::INFO), display_fallback)]
         log: LevelFilter,
     },
-    /// Read the configuration and say whether it can be served
+    /// Check the configuration and print the first error, if any
     #[bpaf(command)]
     Check {
-        /// The configuration
+        /// The configuration file
         #[bpaf(long, env("LB_CONFIG"), argument("FILE"))]
         config: PathBuf,
     },
@@ -36,12 +36,12 @@
     Version,
 }
 
-/// Logs to standard error from here on, and reads the configuration.
-fn start_log(least: LevelFilter, path: &Path) -> Result<Config, String> {
+/// Starts logging to standard error and reads the configuration.
+fn start_log(max_level: LevelFilter, config_path: &Path) -> Result<Config, String> {
     let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_target(false);
     // A log that cannot be written must not end the process.
-    log.with_max_level(least).log_internal_errors(false).init();
-    Config::read(path)
+    log.with_max_level(max_level).log_internal_errors(false).init();
+    Config::read(config_path)
 }
 
 fn main() -> ExitCode {
@@ -52,27 +52,29 @@
             return ExitCode::from(if failure.exit_code() == 0 { 0 } else { 2 });
         }
     };
-    let done = match command {
+    let result = match command {
         Command::Version => {
             println!("scalebarrow {}", env!("CARGO_PKG_VERSION"));
             Ok(())
         }
-        Command::Check { config } => Config::read(&config).map(|c| println!("{}: can be served", c.name)),
-        Command::Serve { config: path, state, log } => match start_log(log, &path) {
-            Ok(config) => match driver::serve(config, &path, &state) {
+        Command::Check { config } => {
+            Config::read(&config).map(|config| println!("{}: the configuration is valid", config.name))
+        }
+        Command::Serve { config: config_path, state, log } => match start_log(log, &config_path) {
+            Ok(config) => match driver::serve(config, &config_path, &state) {
                 Ok(()) => Ok(()),
                 Err(e) => {
                     eprintln!("scalebarrow: {e}");
                     return ExitCode::FAILURE;
                 }
             },
-            Err(why) => Err(why),
+            Err(error) => Err(error),
         },
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("scalebarrow: configuration: {why}");
+        Err(error) => {
+            eprintln!("scalebarrow: configuration: {error}");
             ExitCode::from(2)
         }
     }
