--- a/crates/sender/src/backlog.rs
+++ b/crates/sender/src/backlog.rs
@@ -1,97 +1,105 @@
-//! Webhooks that a start found and that the decision module does not know yet: which it is told next.
+//! Open webhooks that the journal held at start and that have not yet been handed to the decision module, and
+//! the order in which they are.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What has to be known of a webhook to tell when its turn comes.
+/// What the backlog has to know of a webhook to order it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Resumable {
+pub struct PendingWebhook {
+    /// Its number in the journal; lower numbers were accepted earlier.
     pub number: u64,
-    /// When its time is over.
-    pub ends_at: f64,
-    /// The hash of its order key.
-    pub key: Option<u64>,
+    /// When its TTL ends.
+    pub expires_at: f64,
+    /// The hash of its ordering key.
+    pub key_hash: Option<u64>,
 }
 
-/// A time that can be ordered.
+/// A time with a total order.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Moment(f64);
+struct OrderedTime(f64);
 
-impl Eq for Moment {}
-impl PartialOrd for Moment {
+impl Eq for OrderedTime {}
+impl PartialOrd for OrderedTime {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Moment {
+impl Ord for OrderedTime {
     fn cmp(&self, other: &Self) -> Ordering {
         self.0.total_cmp(&other.0)
     }
 }
 
-/// The oldest comes first, but before it whatever's time is over. One that is taken on meanwhile and has the order key
-/// of one that waits has to wait behind it.
+/// A queue that returns expired webhooks first, then the oldest. A webhook accepted meanwhile is added to it
+/// if another one with the same ordering key is still waiting.
 #[derive(Debug, Default)]
 pub struct Backlog {
-    by_number: BTreeMap<u64, Resumable>,
-    by_end: BTreeSet<(Moment, u64)>,
-    /// How many wait with a key.
-    keys: BTreeMap<u64, usize>,
+    by_number: BTreeMap<u64, PendingWebhook>,
+    by_expiry: BTreeSet<(OrderedTime, u64)>,
+    count_by_key: BTreeMap<u64, usize>,
 }
 
-impl FromIterator<Resumable> for Backlog {
-    fn from_iter<I: IntoIterator<Item = Resumable>>(all: I) -> Self {
-        let by_number: BTreeMap<u64, Resumable> = all.into_iter().map(|r| (r.number, r)).collect();
-        let by_end = by_number.values().map(|r| (Moment(r.ends_at), r.number)).collect();
-        let mut keys = BTreeMap::new();
-        for key in by_number.values().filter_map(|r| r.key) {
-            *keys.entry(key).or_default() += 1;
+impl FromIterator<PendingWebhook> for Backlog {
+    fn from_iter<I: IntoIterator<Item = PendingWebhook>>(webhooks: I) -> Self {
+        let by_number: BTreeMap<u64, PendingWebhook> =
+            webhooks.into_iter().map(|webhook| (webhook.number, webhook)).collect();
+        let by_expiry =
+            by_number.values().map(|webhook| (OrderedTime(webhook.expires_at), webhook.number)).collect();
+        let mut count_by_key = BTreeMap::new();
+        for key_hash in by_number.values().filter_map(|webhook| webhook.key_hash) {
+            *count_by_key.entry(key_hash).or_default() += 1;
         }
-        Backlog { by_number, by_end, keys }
+        Backlog { by_number, by_expiry, count_by_key }
     }
 }
 
 impl Backlog {
+    /// The number of waiting webhooks.
     pub fn len(&self) -> usize {
         self.by_number.len()
     }
 
+    /// Whether no webhook is waiting.
     pub fn is_empty(&self) -> bool {
         self.by_number.is_empty()
     }
 
-    /// One with this order key waits.
-    pub fn has_key(&self, key: u64) -> bool {
-        self.keys.contains_key(&key)
+    /// Whether a webhook with this hash of its ordering key is waiting.
+    pub fn has_key(&self, key_hash: u64) -> bool {
+        self.count_by_key.contains_key(&key_hash)
     }
 
-    pub fn add(&mut self, one: Resumable) {
-        self.remove(one.number);
-        self.by_number.insert(one.number, one);
-        self.by_end.insert((Moment(one.ends_at), one.number));
-        if let Some(key) = one.key {
-            *self.keys.entry(key).or_default() += 1;
+    /// Adds a webhook, or replaces the one with the same number.
+    pub fn add(&mut self, webhook: PendingWebhook) {
+        self.remove(webhook.number);
+        self.by_number.insert(webhook.number, webhook);
+        self.by_expiry.insert((OrderedTime(webhook.expires_at), webhook.number));
+        if let Some(key_hash) = webhook.key_hash {
+            *self.count_by_key.entry(key_hash).or_default() += 1;
         }
     }
 
-    pub fn remove(&mut self, number: u64) -> Option<Resumable> {
-        let one = self.by_number.remove(&number)?;
-        self.by_end.remove(&(Moment(one.ends_at), number));
-        if let Some(key) = one.key
-            && let Some(count) = self.keys.get_mut(&key)
+    /// Removes a webhook, if it is waiting.
+    pub fn remove(&mut self, number: u64) -> Option<PendingWebhook> {
+        let webhook = self.by_number.remove(&number)?;
+        self.by_expiry.remove(&(OrderedTime(webhook.expires_at), number));
+        if let Some(key_hash) = webhook.key_hash
+            && let Some(count) = self.count_by_key.get_mut(&key_hash)
         {
             *count -= 1;
             if *count == 0 {
-                self.keys.remove(&key);
+                self.count_by_key.remove(&key_hash);
             }
         }
-        Some(one)
+        Some(webhook)
     }
 
-    /// Takes out the next: one whose time is over at `now`, or the oldest.
-    pub fn next(&mut self, now: f64) -> Option<Resumable> {
-        let over = self.by_end.first().filter(|(ends_at, _)| ends_at.0 <= now).map(|(_, number)| *number);
-        let number = over.or_else(|| self.by_number.first_key_value().map(|(number, _)| *number))?;
+    /// Removes and returns the next webhook: one that has expired at `now`, or else the oldest.
+    pub fn take_next(&mut self, now: f64) -> Option<PendingWebhook> {
+        let expired =
+            self.by_expiry.first().filter(|(expires_at, _)| expires_at.0 <= now).map(|(_, number)| *number);
+        let number = expired.or_else(|| self.by_number.first_key_value().map(|(number, _)| *number))?;
         self.remove(number)
     }
 }
--- a/crates/sender/src/bridge.rs
+++ b/crates/sender/src/bridge.rs
@@ -1,170 +1,201 @@
-//! Between the peers and the decision module: what they tell becomes inputs, what the module asks for becomes
-//! records in the journal and actions for the driver. It decides nothing.
+//! Connects the event loop to the decision module. Events become inputs of the module; what it requests
+//! becomes journal records and actions for the event loop (the driver). The bridge itself decides nothing.
 
-use crate::backlog::{Backlog, Resumable};
+use crate::backlog::{Backlog, PendingWebhook};
 use crate::clients::{IncomingWebhook, Reply};
 use crate::clock;
 use crate::config::Config;
-use crate::counters::{Counters, Transition};
-use crate::endpoints::{self, AttemptResult, Call, CalledWebhook, Load, ResponseHead};
-use crate::journal::{End, Journal, Tries, Webhook, key_hash};
+use crate::counters::{Counters, WebhookEvent};
+use crate::endpoints::{self, AttemptResult, Call, CalledWebhook, OutgoingWebhook, ResponseHead};
+use crate::journal::{AttemptHistory, FinalAnswer, Journal, Webhook, hash_ordering_key};
 use crate::list::{EndpointListUpdate, Health};
 use crate::notices::Notices;
-use crate::withheld::{RETRY_PAUSE, Withheld};
+use crate::withheld::{RETRY_DELAY_SECS, WithheldAnswers};
 use scalebarrow::{ActionSink, ListUpdate, ListedEndpoint, Outcome, Sender};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use tracing::{debug, error, info, warn};
 
-/// Ids of webhooks that ended: those of some seconds at hundreds in a second.
-const MOST_RECENT: usize = 1024;
+/// The number of recently ended webhooks whose ids are remembered: a few seconds' worth at hundreds per
+/// second.
+const MAX_RECENTLY_ENDED: usize = 1024;
 
-/// A 200 that comes when a webhook's time is up delivers nothing, and the platform waits for its final answer. The
-/// platform counts from the last byte of what was handed in, this sender from when it was read, a little later: as much
-/// earlier as the module gives up what it holds. A notice for one that is over after all does no harm.
-const TOO_LATE: f64 = 0.005;
+/// A 200 that is received after the TTL delivers nothing, and the platform waits for a final answer. The
+/// platform's TTL starts at the last byte of the client's request, the sender's a little later, when it has
+/// read the request. A delivery is therefore late this much before the TTL ends here, as the decision module
+/// gives up queued webhooks this much earlier. A notice for a webhook that was delivered in time after all
+/// does no harm.
+const LATE_DELIVERY_MARGIN_SECS: f64 = 0.005;
 
-/// Webhooks that go back to the module in one turn after a start, at most.
-const RESUMED_AT_ONCE: usize = 100;
-/// Before another try where the folder cannot be read.
-const READ_PAUSE: f64 = 0.1;
+/// The most webhooks that go from the backlog to the decision module in one turn of the event loop.
+const MAX_RESUMED_PER_TURN: usize = 100;
+/// Delay before another try when the journal cannot be read.
+const READ_RETRY_DELAY_SECS: f64 = 0.1;
 
-/// What the driver is to do.
+/// What the driver has to do.
 #[derive(Debug, PartialEq)]
 pub enum Action {
+    /// Stop waiting for the attempt of the webhook with this number.
     CancelAttempt(u64),
+    /// Close the idle connections to the endpoint with this name.
     CloseIdleConnections(String),
+    /// Call [`Bridge::wake`] after this many seconds.
     WakeAfter(f64),
+    /// Start or stop the watch of the endpoint list.
     WatchList(bool),
 }
 
-/// What the module asks for while it takes one input.
+/// What the decision module has requested and the bridge has not yet handled.
 #[derive(Default)]
-struct Asked {
+struct Requested {
+    /// Attempts to start: webhook number, endpoint, and when to give up.
     attempts: Vec<(u64, String, f64)>,
-    ends: Vec<(u64, End)>,
+    final_answers: Vec<(u64, FinalAnswer)>,
     actions: Vec<Action>,
 }
 
-impl ActionSink for Asked {
-    fn start_attempt(&mut self, webhook: u64, ep: &str, stop_at: f64) {
-        self.attempts.push((webhook, ep.to_owned(), stop_at));
+impl ActionSink for Requested {
+    fn start_attempt(&mut self, number: u64, endpoint: &str, give_up_at: f64) {
+        self.attempts.push((number, endpoint.to_owned(), give_up_at));
     }
-    // Never two attempts for a webhook at once: the number alone tells which is meant.
-    fn cancel_attempt(&mut self, webhook: u64, _hop: u32) {
-        self.actions.push(Action::CancelAttempt(webhook));
+    // A webhook never has two attempts at a time, so its number identifies the attempt.
+    fn cancel_attempt(&mut self, number: u64, _attempt_number: u32) {
+        self.actions.push(Action::CancelAttempt(number));
     }
-    fn reject(&mut self, webhook: u64, come_back: f64) {
-        self.ends.push((webhook, End::Rejected(come_back)));
+    fn reject(&mut self, number: u64, retry_after: f64) {
+        self.final_answers.push((number, FinalAnswer::Rejected(retry_after)));
     }
-    fn dead_letter(&mut self, webhook: u64) {
-        self.ends.push((webhook, End::DeadLettered));
+    fn dead_letter(&mut self, number: u64) {
+        self.final_answers.push((number, FinalAnswer::DeadLettered));
     }
-    fn schedule_wake(&mut self, after: f64, _handle: u64) {
-        self.actions.push(Action::WakeAfter(after));
+    fn schedule_wake(&mut self, delay: f64, _handle: u64) {
+        self.actions.push(Action::WakeAfter(delay));
     }
-    fn watch_list(&mut self, on: bool) {
-        self.actions.push(Action::WatchList(on));
+    fn watch_list(&mut self, enabled: bool) {
+        self.actions.push(Action::WatchList(enabled));
     }
-    fn close_idle_connections(&mut self, ep: &str) {
-        self.actions.push(Action::CloseIdleConnections(ep.to_owned()));
+    fn close_idle_connections(&mut self, endpoint: &str) {
+        self.actions.push(Action::CloseIdleConnections(endpoint.to_owned()));
     }
     fn log(&mut self, text: &str) {
         info!(text, "decision module");
     }
 }
 
-/// Whether a call may be written.
+/// Whether a call may be written to its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteDecision {
+    /// It may.
     Write,
-    /// Something came in between that stands against it.
+    /// It may not: something changed after the call was decided.
     HoldBack,
-    /// It cannot be put down.
+    /// It may not: the attempt could not be recorded in the journal.
     JournalFailed,
 }
 
-/// Where an endpoint is reached, and what a call to it may hold.
-struct Place {
-    dial: SocketAddr,
+/// What the list says of an endpoint.
+struct EndpointInfo {
+    address: SocketAddr,
     zone: String,
-    batch: usize,
-    /// Its last start as the list told it, on the list's wall clock.
-    born_ms: f64,
+    /// The most webhooks in one call.
+    max_batch: usize,
+    /// Its last start by the wall clock of the list.
+    started_unix_ms: f64,
 }
 
-/// The first attempt that may have run, for the log: where and how long ago.
-fn told(tries: &Tries, now: f64) -> String {
-    let first = tries.ran.as_ref().or(tries.out.as_ref());
-    first.map_or_else(|| "none".to_owned(), |(zone, at)| format!("{zone} {:.3} s ago", now - at))
+/// Describes the first attempt that may have run, for the log: its zone and how long ago it started.
+fn describe_first_attempt(history: &AttemptHistory, now: f64) -> String {
+    let first = history.may_have_run.as_ref().or(history.in_flight.as_ref());
+    first.map_or_else(
+        || "none".to_owned(),
+        |(zone, started_at)| format!("{zone} {:.3} s ago", now - started_at),
+    )
 }
 
-/// Logs what a start found: how many webhooks of each kind, and the age of the oldest attempt, by the folder's clock.
-fn log_found(journal: &Journal, found: &[Resumable], now: f64) {
-    let (mut tried, mut may_have_run, mut oldest) = (0, 0, 0.0_f64);
-    for webhook in found {
-        let tries = journal.tries(webhook.number);
-        tried += usize::from(tries.count > 0);
-        if let Some((_, at)) = tries.ran.as_ref().or(tries.out.as_ref()) {
-            may_have_run += 1;
-            oldest = oldest.max(now - at);
-        }
-    }
-    let over = found.iter().filter(|webhook| webhook.ends_at <= now).count();
-    let (open, owed, same_boot) = (found.len(), journal.all_owed().len(), journal.is_same_boot());
-    info!(code = "found", open, tried, may_have_run, over, owed, oldest, same_boot, "in the folder");
+/// Logs what the journal held at start: how many webhooks of each kind, and the age of the oldest attempt
+/// that may have run.
+fn log_journal_contents(journal: &Journal, pending: &[PendingWebhook], now: f64) {
+    let (mut attempted_count, mut may_have_run_count, mut oldest_age) = (0, 0, 0.0_f64);
+    for webhook in pending {
+        let history = journal.attempt_history(webhook.number);
+        attempted_count += usize::from(history.count > 0);
+        if let Some((_, started_at)) = history.may_have_run.as_ref().or(history.in_flight.as_ref()) {
+            may_have_run_count += 1;
+            oldest_age = oldest_age.max(now - started_at);
+        }
+    }
+    let expired_count = pending.iter().filter(|webhook| webhook.expires_at <= now).count();
+    let (open_count, unacknowledged_count, same_boot) =
+        (pending.len(), journal.unacknowledged_numbers().len(), journal.is_same_boot());
+    info!(
+        code = "found",
+        open = open_count,
+        tried = attempted_count,
+        may_have_run = may_have_run_count,
+        over = expired_count,
+        owed = unacknowledged_count,
+        oldest = oldest_age,
+        same_boot,
+        "contents of the journal"
+    );
 }
 
+/// The state of a sender apart from its sockets and timers.
 pub struct Bridge {
     sender: Sender,
-    asked: Asked,
+    requested: Requested,
     journal: Journal,
+    /// The notices of final answers to the platform.
     pub notices: Notices,
-    withheld: Withheld,
+    withheld: WithheldAnswers,
+    /// The counts of what happened to webhooks.
     pub counters: Counters,
-    places: BTreeMap<String, Place>,
-    /// What a start found and the module does not know yet, and until when that rests.
+    /// By name, the endpoints that may be called.
+    endpoints: BTreeMap<String, EndpointInfo>,
+    /// Webhooks that the decision module does not know yet: those found at start, and new ones behind them.
     backlog: Backlog,
-    resumes_at: Option<f64>,
-    /// When the list was told last.
-    listed_at: f64,
-    /// The ids of those that ended last.
-    recent: BTreeSet<String>,
-    recent_order: VecDeque<String>,
-    next: u64,
+    /// Until then the backlog rests after a read error.
+    backlog_paused_until: Option<f64>,
+    /// When the list was last updated.
+    list_updated_at: f64,
+    /// The ids of the webhooks that ended last, also in the order in which they did.
+    recently_ended: BTreeSet<String>,
+    recently_ended_order: VecDeque<String>,
+    next_number: u64,
     event_types: BTreeSet<String>,
-    reports: bool,
+    /// Whether responses of endpoints carry reports of the destination's limit.
+    uses_limit_reports: bool,
     config: Config,
 }
 
 impl Bridge {
-    /// The module as the journal left it, but for what is still open: that goes back to it with
-    /// [`Bridge::run_maintenance`]. What is owed is due again.
+    /// Restores the state from the journal. Unacknowledged final answers are due for a notice again; open
+    /// webhooks go back to the decision module bit by bit, by [`Bridge::run_maintenance`].
     pub fn open(config: Config, mut journal: Journal, now: f64) -> Self {
-        let found = journal.take_resumable();
-        log_found(&journal, &found, now);
-        let backlog = found.into_iter().collect();
+        let pending = journal.take_pending();
+        log_journal_contents(&journal, &pending, now);
+        let backlog = pending.into_iter().collect();
         let mut bridge = Bridge {
             sender: config.create_sender(now),
-            asked: Asked::default(),
+            requested: Requested::default(),
             notices: Notices::new(),
-            withheld: Withheld::default(),
+            withheld: WithheldAnswers::default(),
             counters: Counters::new(now),
-            places: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             backlog,
-            resumes_at: None,
-            listed_at: now,
-            recent: BTreeSet::new(),
-            recent_order: VecDeque::new(),
-            next: journal.next_number(),
+            backlog_paused_until: None,
+            list_updated_at: now,
+            recently_ended: BTreeSet::new(),
+            recently_ended_order: VecDeque::new(),
+            next_number: journal.next_number(),
             event_types: config.event_types(),
-            reports: config.responses_carry_reports(),
+            uses_limit_reports: config.responses_carry_reports(),
             journal,
             config,
         };
-        bridge.journal.all_owed().into_iter().for_each(|number| bridge.notices.push(number));
-        bridge.journal.take_ended().into_iter().for_each(|id| bridge.remember(id));
+        bridge.journal.unacknowledged_numbers().into_iter().for_each(|number| bridge.notices.push(number));
+        bridge.journal.take_ended_ids().into_iter().for_each(|id| bridge.remember_ended(id));
         let known = std::mem::take(&mut bridge.config.known_list.endpoints);
         bridge.update_list(
             now,
@@ -174,247 +205,347 @@
         bridge
     }
 
-    /// A bounded part of what can be done between turns: the journal is compacted, and what a start found goes back to
-    /// the module.
+    /// Does a bounded part of the background work: logs the counters, compacts the journal, reports withheld
+    /// answers and hands webhooks of the backlog to the decision module.
     pub fn run_maintenance(&mut self, now: f64) {
-        self.counters.log_due(now, self.journal.open_count(), self.notices.len());
-        if let Err(e) = self.journal.step() {
-            warn!(code = "journal-write", %e, "the journal cannot be compacted");
+        self.counters.log_if_due(now, self.journal.open_count(), self.notices.len());
+        if let Err(e) = self.journal.run_compaction_step() {
+            warn!(code = "journal-write", %e, "the journal could not be compacted");
         }
         if self.withheld.retry_due(now) {
-            self.tell_withheld(now);
+            self.report_withheld_answers(now);
         }
-        if self.resumes_at.is_some_and(|at| now < at) {
+        if self.backlog_paused_until.is_some_and(|paused_until| now < paused_until) {
             return;
         }
-        self.resumes_at = None;
-        for _ in 0..RESUMED_AT_ONCE {
-            let Some(next) = self.backlog.next(now) else { break };
-            self.resume(now, next);
-            if self.resumes_at.is_some() {
+        self.backlog_paused_until = None;
+        for _ in 0..MAX_RESUMED_PER_TURN {
+            let Some(webhook) = self.backlog.take_next(now) else { break };
+            self.resume_webhook(now, webhook);
+            if self.backlog_paused_until.is_some() {
                 break;
             }
         }
     }
 
-    /// Tells the final answers that waited for their records, where these can be written now.
-    fn tell_withheld(&mut self, now: f64) {
-        let written = self.journal.write_deferred().is_ok();
-        for number in self.withheld.take(now, written) {
+    /// Tries to write the missing records of withheld answers and queues notices for the answers that may be
+    /// reported.
+    fn report_withheld_answers(&mut self, now: f64) {
+        let records_written = self.journal.write_deferred().is_ok();
+        for number in self.withheld.take_reportable(now, records_written) {
             self.notices.push(number);
         }
         if !self.withheld.is_empty() {
-            self.asked.actions.push(Action::WakeAfter(RETRY_PAUSE));
+            self.requested.actions.push(Action::WakeAfter(RETRY_DELAY_SECS));
         }
     }
 
-    /// A webhook that was taken on by an earlier process, or waited behind one, goes to the module.
-    fn resume(&mut self, now: f64, next: Resumable) {
-        let number = next.number;
-        let webhook = match self.journal.webhook(number) {
+    /// Hands a webhook of the backlog to the decision module.
+    fn resume_webhook(&mut self, now: f64, pending: PendingWebhook) {
+        let number = pending.number;
+        let webhook = match self.journal.read_webhook(number) {
             Ok(Some(webhook)) => webhook,
             Ok(None) => return,
             Err(error) if error.kind() == ErrorKind::InvalidData => {
-                error!(code = "journal-read", number, %error, "a webhook is damaged and given up");
-                return self.close(now, number, End::Over);
+                error!(code = "journal-read", number, %error, "a damaged webhook is given up");
+                return self.finish_webhook(now, number, FinalAnswer::Over);
             }
             Err(error) => {
-                error!(code = "journal-read", number, %error, "a webhook cannot be read yet");
-                self.backlog.add(next);
-                self.resumes_at = Some(now + READ_PAUSE);
-                return self.asked.actions.push(Action::WakeAfter(READ_PAUSE));
+                error!(
+                    code = "journal-read",
+                    number,
+                    %error,
+                    "a webhook cannot be read; it is read again later"
+                );
+                self.backlog.add(pending);
+                self.backlog_paused_until = Some(now + READ_RETRY_DELAY_SECS);
+                return self.requested.actions.push(Action::WakeAfter(READ_RETRY_DELAY_SECS));
             }
         };
-        self.counters.count(Transition::Resumed);
-        let tries = self.journal.tries(number);
-        let (out, first, left) = (tries.out.is_some(), told(&tries, now), webhook.ends_at - now);
+        self.counters.count(WebhookEvent::Resumed);
+        let history = self.journal.attempt_history(number);
+        let (was_in_flight, first_attempt, ttl_left) =
+            (history.in_flight.is_some(), describe_first_attempt(&history, now), webhook.expires_at - now);
         info!(
             code = "resumed",
             id = webhook.id,
-            tries = tries.count,
-            out,
-            first,
-            left,
-            "back from the folder"
+            tries = history.count,
+            out = was_in_flight,
+            first = first_attempt,
+            left = ttl_left,
+            "a webhook of the journal goes to the decision module"
+        );
+        let may_have_run = history
+            .may_have_run
+            .as_ref()
+            .or(history.in_flight.as_ref())
+            .map(|(zone, started_at)| (zone.as_str(), *started_at));
+        let (ordering_key, customer) = (webhook.ordering_key.as_deref(), webhook.customer.as_deref());
+        let (event_type, destination, requested) =
+            (&webhook.event_type, webhook.destination, &mut self.requested);
+        self.sender.resume(
+            now,
+            number,
+            event_type,
+            destination,
+            ordering_key,
+            customer,
+            ttl_left,
+            history.count,
+            may_have_run,
+            requested,
         );
-        let ran = tries.ran.as_ref().or(tries.out.as_ref()).map(|(zone, at)| (zone.as_str(), *at));
-        let (key, customer) = (webhook.order_key.as_deref(), webhook.customer.as_deref());
-        let (event_type, dest, out) = (&webhook.event_type, webhook.dest, &mut self.asked);
-        self.sender.resume(now, number, event_type, dest, key, customer, left, tries.count, ran, out);
-        self.settle(now);
+        self.apply_final_answers(now);
     }
 
-    /// The configuration was read again. What is held and owed goes on.
+    /// Applies a configuration that was read again. Open webhooks and unacknowledged answers are kept.
     pub fn apply_config(&mut self, config: Config) {
         config.apply_to(&mut self.sender);
-        (self.reports, self.event_types) = (config.responses_carry_reports(), config.event_types());
-        self.journal.set_most(config.limits.disk_bytes());
+        (self.uses_limit_reports, self.event_types) =
+            (config.responses_carry_reports(), config.event_types());
+        self.journal.set_max_bytes(config.limits.disk_bytes());
         self.config = config;
     }
 
+    /// The configuration in use.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
+    /// The names of the event types.
     pub fn event_types(&self) -> &BTreeSet<String> {
         &self.event_types
     }
 
-    pub fn endpoint_address(&self, ep: &str) -> Option<SocketAddr> {
-        self.places.get(ep).map(|p| p.dial)
+    /// The address of an endpoint; `None` if it is not listed.
+    pub fn endpoint_address(&self, endpoint: &str) -> Option<SocketAddr> {
+        self.endpoints.get(endpoint).map(|info| info.address)
     }
 
-    /// Final answers that the last input brought, other than for a webhook just handed in.
-    fn settle(&mut self, now: f64) {
-        for (number, end) in std::mem::take(&mut self.asked.ends) {
-            self.close(now, number, end);
+    /// Finishes the webhooks for which the decision module has just requested a final answer.
+    fn apply_final_answers(&mut self, now: f64) {
+        for (number, answer) in std::mem::take(&mut self.requested.final_answers) {
+            self.finish_webhook(now, number, answer);
         }
     }
 
-    /// The id of one that has ended: handed in again, it is not taken on again.
-    fn remember(&mut self, id: String) {
-        if self.recent.insert(id.clone()) {
-            self.recent_order.push_back(id);
+    /// Remembers the id of a webhook that ended, so that it is not accepted again.
+    fn remember_ended(&mut self, id: String) {
+        if self.recently_ended.insert(id.clone()) {
+            self.recently_ended_order.push_back(id);
         }
-        for id in self.recent_order.drain(..self.recent_order.len().saturating_sub(MOST_RECENT)) {
-            self.recent.remove(&id);
+        for id in self
+            .recently_ended_order
+            .drain(..self.recently_ended_order.len().saturating_sub(MAX_RECENTLY_ENDED))
+        {
+            self.recently_ended.remove(&id);
         }
     }
 
-    fn close(&mut self, now: f64, number: u64, end: End) {
+    /// Records a webhook's final answer and queues the notice, unless the platform needs none.
+    fn finish_webhook(&mut self, now: f64, number: u64, answer: FinalAnswer) {
         if !self.journal.is_open(number) {
             return;
         }
         self.backlog.remove(number);
-        let (webhook, tries) = (self.journal.open_webhook(number), self.journal.tries(number).count);
-        let written = self.journal.end(number, end);
+        let (webhook, attempt_count) =
+            (self.journal.open_webhook(number), self.journal.attempt_history(number).count);
+        let written = self.journal.record_final_answer(number, answer);
         if let Err(e) = &written {
-            error!(code = "journal-write", %e, "a final answer could not be written; it is told once it can be");
+            error!(
+                code = "journal-write",
+                %e,
+                "a final answer could not be recorded; it is reported once it is"
+            );
         }
-        let ends_at = webhook.as_ref().map_or(now, |webhook| webhook.ends_at);
+        let expires_at = webhook.as_ref().map_or(now, |webhook| webhook.expires_at);
         if let Some(webhook) = webhook {
-            if end != End::Over {
-                let (id, dest, left) = (&webhook.id, webhook.dest, webhook.ends_at - now);
-                let dead = end == End::DeadLettered;
-                self.counters.count(if dead { Transition::DeadLettered } else { Transition::Returned });
-                info!(code = "given-up", id, dest, ?end, tries, left, "a final answer is owed");
+            if answer != FinalAnswer::Over {
+                let (id, destination, ttl_left) =
+                    (&webhook.id, webhook.destination, webhook.expires_at - now);
+                let is_dead_letter = answer == FinalAnswer::DeadLettered;
+                self.counters.count(if is_dead_letter {
+                    WebhookEvent::DeadLettered
+                } else {
+                    WebhookEvent::Returned
+                });
+                info!(
+                    code = "given-up",
+                    id,
+                    dest = destination,
+                    end = ?answer,
+                    tries = attempt_count,
+                    left = ttl_left,
+                    "a webhook is given up; the platform has to be notified"
+                );
             }
-            self.remember(webhook.id.clone());
+            self.remember_ended(webhook.id.clone());
         }
-        match end {
-            End::Over => {}
-            _ if written.is_ok() || ends_at <= now + TOO_LATE => self.notices.push(number),
+        match answer {
+            FinalAnswer::Over => {}
+            _ if written.is_ok() || expires_at <= now + LATE_DELIVERY_MARGIN_SECS => {
+                self.notices.push(number)
+            }
             _ => {
-                self.counters.count(Transition::Withheld);
-                self.withheld.add(now, number, ends_at);
-                self.asked.actions.push(Action::WakeAfter(RETRY_PAUSE));
+                self.counters.count(WebhookEvent::Withheld);
+                self.withheld.add(now, number, expires_at);
+                self.requested.actions.push(Action::WakeAfter(RETRY_DELAY_SECS));
             }
         }
     }
 
-    /// A webhook is handed in. The number is there where it was taken on just now.
-    pub fn hand_in(&mut self, now: f64, from: IncomingWebhook, body: Vec<u8>) -> (Reply, Option<u64>) {
-        // Handed in once more because its connection closed under it, or by somebody else: it is taken on already, and
-        // what was taken on stays as it is, whether it is open or just over.
-        if self.recent.contains(&from.id) || self.journal.find(&from.id).is_some() {
-            self.counters.count(Transition::Known);
-            debug!(code = "known", id = from.id, "handed in again: it is taken on already");
+    /// A client hands in a webhook. Returns the reply, and the webhook's number if it was accepted just now.
+    pub fn hand_in(&mut self, now: f64, incoming: IncomingWebhook, body: Vec<u8>) -> (Reply, Option<u64>) {
+        // Handed in again after its connection was closed, or by another client. What was accepted first
+        // stays as it is, whether it is open or ended just now.
+        if self.recently_ended.contains(&incoming.id) || self.journal.find_open(&incoming.id).is_some() {
+            self.counters.count(WebhookEvent::Duplicate);
+            debug!(code = "known", id = incoming.id, "a webhook with this id was accepted before");
             return (Reply::Accepted, None);
         }
-        let (ends_at, left) = (now + from.remaining_secs, from.remaining_secs);
-        let IncomingWebhook { id, event_type, dest, order_key, customer, token, .. } = from;
-        let webhook = Webhook { id, event_type, dest, order_key, customer, token, ends_at, body };
-        // As long as the module does not know all that is held, it cannot judge whether there are too many.
+        let (expires_at, ttl_left) = (now + incoming.remaining_secs, incoming.remaining_secs);
+        let IncomingWebhook {
+            id,
+            event_type,
+            dest: destination,
+            order_key: ordering_key,
+            customer,
+            token,
+            ..
+        } = incoming;
+        let webhook =
+            Webhook { id, event_type, destination, ordering_key, customer, token, expires_at, body };
+        // The decision module cannot judge whether there are too many webhooks while it does not know all of
+        // them.
         let too_many = !self.backlog.is_empty() && self.journal.open_count() >= self.config.capacity().1;
-        if too_many || !self.journal.has_room(&webhook) {
-            self.counters.count(Transition::NoRoom);
+        if too_many || !self.journal.has_space_for(&webhook) {
+            self.counters.count(WebhookEvent::NoSpace);
             return (Reply::Unavailable, None);
         }
-        let number = self.next;
-        self.next += 1;
-        if let Some(key) = self.waits_behind(&webhook) {
-            return self.take_behind(number, webhook, key);
+        let number = self.next_number;
+        self.next_number += 1;
+        if let Some(key_hash) = self.backlog_key(&webhook) {
+            return self.accept_into_backlog(number, webhook, key_hash);
         }
-        let (key, customer) = (webhook.order_key.as_deref(), webhook.customer.as_deref());
-        self.sender.accept(now, number, &webhook.event_type, dest, key, customer, left, &mut self.asked);
-        let at_once = self.asked.ends.iter().find(|e| e.0 == number).map(|e| e.1);
+        let (ordering_key, customer) = (webhook.ordering_key.as_deref(), webhook.customer.as_deref());
+        self.sender.accept(
+            now,
+            number,
+            &webhook.event_type,
+            destination,
+            ordering_key,
+            customer,
+            ttl_left,
+            &mut self.requested,
+        );
+        let immediate_answer =
+            self.requested.final_answers.iter().find(|entry| entry.0 == number).map(|entry| entry.1);
         let id = webhook.id.clone();
-        let taken = at_once.is_none().then(|| self.journal.take(number, webhook));
-        self.settle(now);
-        match (at_once, taken) {
-            (Some(End::Rejected(come_back)), _) => {
-                self.counters.count(Transition::Rejected);
-                (Reply::Rejected(come_back), None)
+        let recorded = immediate_answer.is_none().then(|| self.journal.record_webhook(number, webhook));
+        self.apply_final_answers(now);
+        match (immediate_answer, recorded) {
+            (Some(FinalAnswer::Rejected(retry_after)), _) => {
+                self.counters.count(WebhookEvent::Rejected);
+                (Reply::Rejected(retry_after), None)
             }
             (Some(_), _) | (None, None) => (Reply::Status(500), None),
             (None, Some(Ok(()))) => {
-                self.counters.count(Transition::Taken);
-                debug!(code = "taken", id, number, dest, left, "a webhook is taken on");
+                self.counters.count(WebhookEvent::Accepted);
+                debug!(
+                    code = "taken",
+                    id,
+                    number,
+                    dest = destination,
+                    left = ttl_left,
+                    "a webhook is accepted"
+                );
                 (Reply::Accepted, Some(number))
             }
             (None, Some(Err(e))) => {
-                self.counters.count(Transition::NoRoom);
-                error!(code = "journal-write", %e, "a webhook could not be taken on");
-                self.sender.withdraw(now, number, &mut self.asked);
-                self.settle(now);
+                self.counters.count(WebhookEvent::NoSpace);
+                error!(code = "journal-write", %e, "a webhook could not be recorded and is not accepted");
+                self.sender.withdraw(now, number, &mut self.requested);
+                self.apply_final_answers(now);
                 (Reply::Unavailable, None)
             }
         }
     }
 
-    /// The hash of a webhook's order key, where others with it are not back in the module yet.
-    fn waits_behind(&self, webhook: &Webhook) -> Option<u64> {
-        let key = webhook.order_key.as_deref().filter(|_| self.config.is_ordered(&webhook.event_type))?;
-        Some(key_hash(key)).filter(|key| self.backlog.has_key(*key))
+    /// The hash of a webhook's ordering key, if a webhook with this key is still in the backlog.
+    fn backlog_key(&self, webhook: &Webhook) -> Option<u64> {
+        let ordering_key =
+            webhook.ordering_key.as_deref().filter(|_| self.config.is_ordered(&webhook.event_type))?;
+        Some(hash_ordering_key(ordering_key)).filter(|key_hash| self.backlog.has_key(*key_hash))
     }
 
-    /// Takes a webhook on that goes to the module only behind others with its order key.
-    fn take_behind(&mut self, number: u64, webhook: Webhook, key: u64) -> (Reply, Option<u64>) {
-        let (id, ends_at) = (webhook.id.clone(), webhook.ends_at);
-        if let Err(e) = self.journal.take(number, webhook) {
-            error!(code = "journal-write", %e, "a webhook could not be taken on");
+    /// Accepts a webhook that goes to the decision module after others in the backlog with its ordering key.
+    fn accept_into_backlog(&mut self, number: u64, webhook: Webhook, key_hash: u64) -> (Reply, Option<u64>) {
+        let (id, expires_at) = (webhook.id.clone(), webhook.expires_at);
+        if let Err(e) = self.journal.record_webhook(number, webhook) {
+            error!(code = "journal-write", %e, "a webhook could not be recorded and is not accepted");
             return (Reply::Unavailable, None);
         }
-        self.counters.count(Transition::Taken);
-        debug!(code = "taken", id, number, "a webhook is taken on and waits for others with its key");
-        self.backlog.add(Resumable { number, ends_at, key: Some(key) });
+        self.counters.count(WebhookEvent::Accepted);
+        debug!(
+            code = "taken",
+            id, number, "a webhook is accepted and waits for others with its ordering key"
+        );
+        self.backlog.add(PendingWebhook { number, expires_at, key_hash: Some(key_hash) });
         (Reply::Accepted, Some(number))
     }
 
-    /// The client went away before it heard that its webhook is taken on.
+    /// The client disconnected before it received the whole response to its webhook: the webhook is
+    /// withdrawn.
     pub fn withdraw(&mut self, now: f64, number: u64) {
         if let Some(webhook) = self.journal.open_webhook(number) {
             let id = &webhook.id;
-            self.counters.count(Transition::Withdrawn);
-            info!(code = "withdrawn", id, number, "its client went away before it heard that it is taken on");
+            self.counters.count(WebhookEvent::Withdrawn);
+            info!(code = "withdrawn", id, number, "the client disconnected before it received the response");
         }
         self.backlog.remove(number);
-        // Its client may hand it in again.
-        if let Err(e) = self.journal.withdraw(number) {
-            warn!(code = "journal-write", %e, "a withdrawal could not be written; it may come again after a restart");
+        // The client may hand it in again.
+        if let Err(e) = self.journal.record_withdrawal(number) {
+            warn!(
+                code = "journal-write",
+                %e,
+                "a withdrawal could not be recorded; the webhook may be open again after a restart"
+            );
         }
-        self.sender.withdraw(now, number, &mut self.asked);
-        self.settle(now);
+        self.sender.withdraw(now, number, &mut self.requested);
+        self.apply_final_answers(now);
     }
 
-    pub fn update_list(&mut self, now: f64, news: &EndpointListUpdate, remembered: bool) {
-        let mut entries = Vec::new();
-        if news.is_complete {
-            // Those that left are not called any more; what is on its way has its address already.
-            let listed: BTreeSet<&str> = news.endpoints.iter().map(|h| h.name.as_str()).collect();
-            let left = self.places.extract_if(.., |host, _| !listed.contains(host.as_str()));
-            self.asked.actions.extend(left.map(|(host, _)| Action::CloseIdleConnections(host)));
+    /// Applies a list of endpoints, or changes to it. `remembered` is set for the list of the configuration,
+    /// which may be out of date.
+    pub fn update_list(&mut self, now: f64, update: &EndpointListUpdate, remembered: bool) {
+        let mut listed_endpoints = Vec::new();
+        if update.is_complete {
+            // Endpoints that left the list are not called again; calls in flight already have their
+            // connection.
+            let listed: BTreeSet<&str> = update.endpoints.iter().map(|entry| entry.name.as_str()).collect();
+            let removed = self.endpoints.extract_if(.., |name, _| !listed.contains(name.as_str()));
+            self.requested.actions.extend(removed.map(|(name, _)| Action::CloseIdleConnections(name)));
         }
-        for h in &news.endpoints {
-            let Some(destination) = h.destination else { continue };
-            let ready = h.health == Health::Serving;
+        for entry in &update.endpoints {
+            let Some(destination) = entry.destination else { continue };
+            let ready = entry.health == Health::Serving;
             let (endpoint, zone, destination_kind) =
-                (h.name.as_str(), h.zone.as_str(), h.destination_kind.as_str());
-            let rate_limit = h.rate_limit.filter(|_| self.config.list_has_rates()).unwrap_or(0.0);
-            let born_ms = h.started_unix_ms.unwrap_or(0.0);
-            let started_at = self.born(now, endpoint, born_ms);
-            debug!(code = "endpoint", ep = endpoint, dest = destination, kind = destination_kind, zone, rate = rate_limit, born = started_at, health = ?h.health, "an endpoint is listed");
-            entries.push(ListedEndpoint {
+                (entry.name.as_str(), entry.zone.as_str(), entry.destination_kind.as_str());
+            let rate_limit = entry.rate_limit.filter(|_| self.config.list_has_rates()).unwrap_or(0.0);
+            let started_unix_ms = entry.started_unix_ms.unwrap_or(0.0);
+            let started_at = self.started_at(now, endpoint, started_unix_ms);
+            debug!(
+                code = "endpoint",
+                ep = endpoint,
+                dest = destination,
+                kind = destination_kind,
+                zone,
+                rate = rate_limit,
+                born = started_at,
+                health = ?entry.health,
+                "an endpoint is listed"
+            );
+            listed_endpoints.push(ListedEndpoint {
                 endpoint,
                 zone,
                 destination_kind,
@@ -423,138 +554,164 @@
                 rate_limit,
                 started_at,
             });
-            if h.health == Health::Deleted {
-                self.places.remove(&h.name);
-                self.asked.actions.push(Action::CloseIdleConnections(h.name.clone()));
+            if entry.health == Health::Deleted {
+                self.endpoints.remove(&entry.name);
+                self.requested.actions.push(Action::CloseIdleConnections(entry.name.clone()));
                 continue;
             }
-            let (dial, zone, batch) = (h.address, h.zone.clone(), self.config.max_batch(&h.destination_kind));
-            let old = self.places.insert(h.name.clone(), Place { dial, zone, batch, born_ms });
-            if old.is_some_and(|p| p.dial != dial) {
-                self.asked.actions.push(Action::CloseIdleConnections(h.name.clone()));
+            let (address, zone, max_batch) =
+                (entry.address, entry.zone.clone(), self.config.max_batch(&entry.destination_kind));
+            let previous = self
+                .endpoints
+                .insert(entry.name.clone(), EndpointInfo { address, zone, max_batch, started_unix_ms });
+            if previous.is_some_and(|info| info.address != address) {
+                self.requested.actions.push(Action::CloseIdleConnections(entry.name.clone()));
             }
         }
-        let mode = match (remembered, news.is_complete) {
+        let mode = match (remembered, update.is_complete) {
             (true, _) => ListUpdate::Remembered,
             (false, true) => ListUpdate::Whole,
             (false, false) => ListUpdate::Changes,
         };
-        debug!(code = "listed", seq = news.version, ?mode, "the list is told");
-        self.sender.update_list(now, mode, &entries, &mut self.asked);
-        self.listed_at = now;
-        self.settle(now);
-    }
-
-    /// When an endpoint started last, on this process's clock; 0 for long ago. The list tells it on a wall clock, of which
-    /// only two things are used: that another time is told than before, which is a start since then, and its age by
-    /// the wall clock here, which may be wrong and leads to a slower or quicker ramp at most.
-    fn born(&self, now: f64, ep: &str, born_ms: f64) -> f64 {
-        if born_ms <= 0.0 {
+        debug!(code = "listed", seq = update.version, ?mode, "the endpoint list is updated");
+        self.sender.update_list(now, mode, &listed_endpoints, &mut self.requested);
+        self.list_updated_at = now;
+        self.apply_final_answers(now);
+    }
+
+    /// When an endpoint last started, on this process's clock; 0 for long ago. The list gives it on a wall
+    /// clock, of which only two things are used. If the time differs from the one given before, the endpoint
+    /// started since the last update. And its age by the local wall clock, which may be wrong; at worst the
+    /// endpoint's load ramps up too slowly or too quickly.
+    fn started_at(&self, now: f64, endpoint: &str, started_unix_ms: f64) -> f64 {
+        if started_unix_ms <= 0.0 {
             return 0.0;
         }
-        let born = now - clock::wall_clock_age(born_ms / 1e3);
-        match self.places.get(ep) {
-            Some(place) if place.born_ms == born_ms => born,
-            Some(_) => born.max(self.listed_at),
-            None => born,
+        let started_at = now - clock::wall_clock_age(started_unix_ms / 1e3);
+        match self.endpoints.get(endpoint) {
+            Some(info) if info.started_unix_ms == started_unix_ms => started_at,
+            Some(_) => started_at.max(self.list_updated_at),
+            None => started_at,
         }
     }
 
-    /// The list could not be had.
+    /// The platform refused to send the list.
     pub fn list_unavailable(&mut self, now: f64) {
-        self.sender.update_list(now, ListUpdate::Refused, &[], &mut self.asked);
-        self.settle(now);
+        self.sender.update_list(now, ListUpdate::Refused, &[], &mut self.requested);
+        self.apply_final_answers(now);
     }
 
+    /// The wake timer that [`Action::WakeAfter`] requested has expired.
     pub fn wake(&mut self, now: f64) {
-        self.sender.wake(now, 0, &mut self.asked);
-        self.settle(now);
+        self.sender.wake(now, 0, &mut self.requested);
+        self.apply_final_answers(now);
     }
 
-    /// The process will end; what is not back by then may have run.
-    pub fn begin_shutdown(&mut self, now: f64, by: f64) {
-        self.sender.begin_shutdown(now, by, &mut self.asked);
-        self.settle(now);
+    /// The process will exit at `shutdown_at`. Attempts without an outcome by then may have run.
+    pub fn begin_shutdown(&mut self, now: f64, shutdown_at: f64) {
+        self.sender.begin_shutdown(now, shutdown_at, &mut self.requested);
+        self.apply_final_answers(now);
     }
 
-    /// A call ended, with one ending for each of its webhooks.
-    pub fn call_ended(&mut self, now: f64, call: &Call, endings: &[AttemptResult], answer: &ResponseHead) {
-        let report = answer.limit_report.filter(|_| self.reports);
-        if answer.retry_after > 0.0 {
+    /// A call ended, with one result for each of its webhooks.
+    pub fn call_ended(&mut self, now: f64, call: &Call, results: &[AttemptResult], response: &ResponseHead) {
+        let limit_report = response.limit_report.filter(|_| self.uses_limit_reports);
+        if response.retry_after > 0.0 {
             debug!(
                 code = "wait",
                 ep = call.endpoint,
-                wait = answer.retry_after,
-                status = answer.status,
-                "a wait was told"
+                wait = response.retry_after,
+                status = response.status,
+                "the response asks for a delay"
             );
-            self.sender.wait_requested(now, &call.endpoint, answer.retry_after, &mut self.asked);
+            self.sender.wait_requested(now, &call.endpoint, response.retry_after, &mut self.requested);
         }
-        for (webhook, ending) in call.webhooks.iter().zip(endings) {
+        for (webhook, result) in call.webhooks.iter().zip(results) {
             let CalledWebhook { number, id, attempt } = webhook;
-            self.counters.count(ending.outcome.into());
-            let before = self.journal.tries(*number);
-            let may_run = matches!(
-                ending.outcome,
+            self.counters.count(result.outcome.into());
+            let history_before = self.journal.attempt_history(*number);
+            let may_have_run = matches!(
+                result.outcome,
                 Outcome::Failed | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
             );
-            let late = |w: &Webhook| now > w.ends_at - TOO_LATE && ending.outcome == Outcome::Delivered;
-            if ending.is_final {
+            let late = |webhook: &Webhook| {
+                now > webhook.expires_at - LATE_DELIVERY_MARGIN_SECS && result.outcome == Outcome::Delivered
+            };
+            if result.is_final {
                 let late = self.journal.open_webhook(*number).is_some_and(|webhook| late(&webhook));
-                self.close(now, *number, if late { End::DeadLettered } else { End::Over });
+                self.finish_webhook(
+                    now,
+                    *number,
+                    if late { FinalAnswer::DeadLettered } else { FinalAnswer::Over },
+                );
             } else if let Some(attempt) = attempt
-                && let Err(e) = self.journal.back(*number, *attempt, may_run)
+                && let Err(e) = self.journal.record_attempt_end(*number, *attempt, may_have_run)
             {
-                warn!(code = "journal-write", %e, "an outcome could not be written: it counts as one that may have run");
+                warn!(
+                    code = "journal-write",
+                    %e,
+                    "an outcome could not be recorded; the attempt may have run"
+                );
             }
-            let over = !self.journal.is_open(*number);
-            let took = now - call.decided_at;
-            let (ep, outcome, written) = (&call.endpoint, ending.outcome, call.written);
+            let is_final = !self.journal.is_open(*number);
+            let duration = now - call.decided_at;
+            let (endpoint, outcome, written) = (&call.endpoint, result.outcome, call.written);
             debug!(
                 code = "back",
                 id,
                 number,
-                ep,
+                ep = endpoint,
                 ?outcome,
                 written,
-                took,
-                over,
-                ?report,
-                "an attempt is back"
+                took = duration,
+                over = is_final,
+                report = ?limit_report,
+                "an attempt ended"
             );
-            self.log_if_may_have_run(now, *number, id, call, outcome, &before);
-            let out = &mut self.asked;
-            self.sender.attempt_ended(now, *number, &call.endpoint, ending.outcome, took, over, report, out);
-            self.settle(now);
+            self.log_if_may_have_run(now, *number, id, call, outcome, &history_before);
+            let requested = &mut self.requested;
+            self.sender.attempt_ended(
+                now,
+                *number,
+                &call.endpoint,
+                result.outcome,
+                duration,
+                is_final,
+                limit_report,
+                requested,
+            );
+            self.apply_final_answers(now);
         }
     }
 
-    /// Logs what an outcome changed in the record of attempts of a webhook that may have run before.
+    /// If an earlier attempt for a webhook may have run, logs how an outcome changed its attempt history.
     fn log_if_may_have_run(
-        &self, now: f64, number: u64, id: &str, call: &Call, outcome: Outcome, before: &Tries,
+        &self, now: f64, number: u64, id: &str, call: &Call, outcome: Outcome,
+        history_before: &AttemptHistory,
     ) {
-        if before.ran.is_none() && before.out.is_none() {
+        if history_before.may_have_run.is_none() && history_before.in_flight.is_none() {
             return;
         }
-        let after = self.journal.tries(number);
-        let (ep, written, open) = (&call.endpoint, call.written, self.journal.is_open(number));
-        let (may_have_run_before, may_have_run_after) = (told(before, now), told(&after, now));
+        let history_after = self.journal.attempt_history(number);
+        let (endpoint, written, open) = (&call.endpoint, call.written, self.journal.is_open(number));
+        let (may_have_run_before, may_have_run_after) =
+            (describe_first_attempt(history_before, now), describe_first_attempt(&history_after, now));
         if written {
             debug!(
                 code = "attempts",
                 id,
-                ep,
+                ep = endpoint,
                 ?outcome,
                 open,
                 may_have_run_before,
                 may_have_run_after,
-                "what is known of it"
+                "the first attempt that may have run, before and after this one"
             );
         } else {
             info!(
                 code = "not-written",
                 id,
-                ep,
+                ep = endpoint,
                 ?outcome,
                 open,
                 may_have_run_before,
@@ -564,18 +721,22 @@
         }
     }
 
-    /// The calls that the inputs of one turn led to: what goes to one endpoint travels together, as far as
-    /// its kind allows. The second list holds those that cannot be made.
+    /// Takes the calls that the decision module has requested. Webhooks for the same endpoint share a call as
+    /// far as the destination's kind allows. The second list holds calls that cannot be made.
     pub fn take_calls(&mut self, now: f64) -> (Vec<Call>, Vec<Call>) {
         let mut calls: Vec<Call> = Vec::new();
         let mut not_made = Vec::new();
-        for (number, endpoint, give_up_at) in std::mem::take(&mut self.asked.attempts) {
+        for (number, endpoint, give_up_at) in std::mem::take(&mut self.requested.attempts) {
             let (request, written) = (Vec::new(), false);
-            let id = self.journal.open_webhook(number).map(|w| w.id.clone());
-            let (batch, zone) = self.places.get(&endpoint).map_or((1, ""), |p| (p.batch, &p.zone));
-            let joins =
-                calls.iter_mut().rev().find(|c| c.endpoint == endpoint).filter(|c| c.webhooks.len() < batch);
-            match (id, joins) {
+            let id = self.journal.open_webhook(number).map(|webhook| webhook.id.clone());
+            let (max_batch, zone) =
+                self.endpoints.get(&endpoint).map_or((1, ""), |info| (info.max_batch, &info.zone));
+            let shared_call = calls
+                .iter_mut()
+                .rev()
+                .find(|call| call.endpoint == endpoint)
+                .filter(|call| call.webhooks.len() < max_batch);
+            match (id, shared_call) {
                 (Some(id), Some(call)) => {
                     call.webhooks.push(CalledWebhook::new(number, id));
                     call.give_up_at = call.give_up_at.min(give_up_at);
@@ -600,19 +761,33 @@
         for mut call in std::mem::take(&mut calls) {
             let numbers = call.webhooks.iter().map(|webhook| webhook.number);
             let webhooks: Vec<_> = numbers.filter_map(|number| self.journal.open_webhook(number)).collect();
-            let loads = webhooks.iter().map(|w| Load { id: &w.id, token: w.token.as_deref(), body: &w.body });
-            let loads: Vec<Load> = loads.collect();
-            let host = self.places.get(&call.endpoint).map(|p| p.dial.to_string()).unwrap_or_default();
+            let outgoing = webhooks.iter().map(|webhook| OutgoingWebhook {
+                id: &webhook.id,
+                token: webhook.token.as_deref(),
+                body: &webhook.body,
+            });
+            let outgoing: Vec<OutgoingWebhook> = outgoing.collect();
+            let host =
+                self.endpoints.get(&call.endpoint).map(|info| info.address.to_string()).unwrap_or_default();
             let (endpoint, stop_in) = (&call.endpoint, call.give_up_at - now);
-            debug!(code = "decided", ids = ?call.webhooks, ep = endpoint, stop_in, "an attempt is to be made");
-            match endpoints::encode(&loads, &host, call.give_up_at - now) {
+            debug!(
+                code = "decided",
+                ids = ?call.webhooks,
+                ep = endpoint,
+                stop_in,
+                "an attempt is to be made"
+            );
+            match endpoints::encode_request(&outgoing, &host, call.give_up_at - now) {
                 Some(request) => calls.push(Call { request, ..call }),
                 None if call.webhooks.len() > 1 => {
-                    // Together they are too long for a body: the first goes, the others count as not sent.
+                    // Together they exceed the limit of a body: the first is sent, the others count as not
+                    // sent.
                     let rest = call.webhooks.split_off(1);
                     let (endpoint, zone, request) = (call.endpoint.clone(), call.zone.clone(), Vec::new());
                     not_made.push(Call { endpoint, zone, webhooks: rest, request, ..call });
-                    if let Some(request) = endpoints::encode(&loads[..1], &host, call.give_up_at - now) {
+                    if let Some(request) =
+                        endpoints::encode_request(&outgoing[..1], &host, call.give_up_at - now)
+                    {
                         calls.push(Call { request, ..call });
                     }
                 }
@@ -622,26 +797,33 @@
         (calls, not_made)
     }
 
-    /// A call is about to be written, which may be long after it was decided: its connection had to come up.
+    /// A call is about to be written, possibly long after it was decided, as its connection had to be opened
+    /// first. Checks whether it may still be sent, records its attempts and sets its write deadline.
     pub fn prepare_write(&mut self, now: f64, call: &mut Call) -> WriteDecision {
-        let held = now - call.decided_at;
+        let delay = now - call.decided_at;
         if now >= call.give_up_at {
-            let (ep, count) = (&call.endpoint, call.webhooks.len());
-            self.counters.count(Transition::HeldBack);
-            info!(code = "not-sent", ep, count, held, "its connection came up when its time was over");
+            let (endpoint, count) = (&call.endpoint, call.webhooks.len());
+            self.counters.count(WebhookEvent::HeldBack);
+            info!(
+                code = "not-sent",
+                ep = endpoint,
+                count,
+                held = delay,
+                "the call timed out before its connection was open"
+            );
             return WriteDecision::HoldBack;
         }
         for CalledWebhook { number, id, .. } in &call.webhooks {
-            if let Some(why) = self.sender.not_sent_reason(now, *number, &call.endpoint) {
+            if let Some(reason) = self.sender.not_sent_reason(now, *number, &call.endpoint) {
                 info!(
                     code = "not-sent",
                     id,
                     ep = call.endpoint,
-                    held,
-                    ?why,
-                    "its connection came up too late"
+                    held = delay,
+                    why = ?reason,
+                    "an attempt may no longer be sent"
                 );
-                self.counters.count(Transition::HeldBack);
+                self.counters.count(WebhookEvent::HeldBack);
                 return WriteDecision::HoldBack;
             }
         }
@@ -653,71 +835,80 @@
                 number,
                 ep = call.endpoint,
                 zone = call.zone,
-                held,
+                held = delay,
                 "an attempt goes out"
             );
-            // A repeat is rare, and what on-call looks for first where an effect came twice.
-            let tries = self.journal.tries(*number);
-            self.counters.count(Transition::Out);
-            if tries.ran.is_some() || tries.out.is_some() {
-                self.counters.count(Transition::Repeated);
-                let (ep, zone, first) = (&call.endpoint, &call.zone, told(&tries, now));
+            // Repeats are rare, and the first thing to look for when a webhook took effect twice.
+            let history = self.journal.attempt_history(*number);
+            self.counters.count(WebhookEvent::AttemptStarted);
+            if history.may_have_run.is_some() || history.in_flight.is_some() {
+                self.counters.count(WebhookEvent::AttemptRepeated);
+                let (endpoint, zone, first_attempt) =
+                    (&call.endpoint, &call.zone, describe_first_attempt(&history, now));
                 info!(
                     code = "repeat",
                     id,
-                    ep,
+                    ep = endpoint,
                     zone,
-                    tries = tries.count,
-                    first,
-                    "again: an attempt may have run"
+                    tries = history.count,
+                    first = first_attempt,
+                    "an attempt is repeated; an earlier one may have run"
                 );
             }
-            match self.journal.out(*number, &call.zone, now) {
+            match self.journal.record_attempt_start(*number, &call.zone, now) {
                 Ok(recorded) => *attempt = recorded,
                 Err(e) => {
-                    error!(code = "journal-write", %e, "an attempt could not be written down and is not made");
+                    error!(code = "journal-write", %e, "an attempt could not be recorded and is not made");
                     return WriteDecision::JournalFailed;
                 }
             }
         }
-        let until = call.webhooks.iter().map(|webhook| self.sender.write_deadline(webhook.number));
-        call.write_deadline = until.fold(call.give_up_at, f64::min);
+        let write_deadlines = call.webhooks.iter().map(|webhook| self.sender.write_deadline(webhook.number));
+        call.write_deadline = write_deadlines.fold(call.give_up_at, f64::min);
         WriteDecision::Write
     }
 
+    /// Takes the actions that were requested of the driver.
     pub fn take_actions(&mut self) -> Vec<Action> {
-        std::mem::take(&mut self.asked.actions)
+        std::mem::take(&mut self.requested.actions)
     }
 
+    /// The next notice as a request to the platform at `host`.
     pub fn next_notice(&mut self, host: &SocketAddr) -> Vec<u8> {
         let Bridge { notices, journal, .. } = self;
         let mut ids = Vec::new();
-        let call = notices.next_request(host, |number| {
-            let (id, end) = journal.owed(number)?;
+        let request = notices.next_request(host, |number| {
+            let (id, answer) = journal.unacknowledged_answer(number)?;
             ids.push(id.clone());
-            Some((id, end))
+            Some((id, answer))
         });
-        debug!(code = "notice", ?ids, "final answers are told");
-        call
+        debug!(code = "notice", ?ids, "a notice of final answers is sent");
+        request
     }
 
+    /// The platform acknowledged the notices of these webhooks' final answers.
     pub fn notices_acknowledged(&mut self, numbers: &[u64]) {
-        debug!(code = "told", count = numbers.len(), "final answers are acknowledged");
+        debug!(code = "told", count = numbers.len(), "a notice of final answers is acknowledged");
         for number in numbers {
-            if let Err(e) = self.journal.told(*number) {
-                warn!(code = "journal-write", %e, "an acknowledgement could not be written; a notice may repeat");
+            if let Err(e) = self.journal.record_acknowledgement(*number) {
+                warn!(
+                    code = "journal-write",
+                    %e,
+                    "an acknowledgement could not be recorded; its notice may be repeated"
+                );
             }
         }
     }
 
-    /// The module asked for something that was not yet looked at, or a step is to be made.
+    /// Whether there are requests of the decision module to handle, or background work to do, without waiting
+    /// for events.
     pub fn has_work(&self) -> bool {
-        let resumes = !self.backlog.is_empty() && self.resumes_at.is_none();
-        let asked = !self.asked.actions.is_empty() || !self.asked.attempts.is_empty();
-        asked || resumes || self.journal.needs_step()
+        let backlog_is_due = !self.backlog.is_empty() && self.backlog_paused_until.is_none();
+        let has_requests = !self.requested.actions.is_empty() || !self.requested.attempts.is_empty();
+        has_requests || backlog_is_due || self.journal.needs_compaction()
     }
 
-    /// Nothing is held and nothing is owed.
+    /// Whether no webhook is open and no final answer is unreported or unacknowledged.
     pub fn is_idle(&self) -> bool {
         self.journal.open_count() == 0 && self.notices.is_empty() && self.withheld.is_empty()
     }
--- a/crates/sender/src/counters.rs
+++ b/crates/sender/src/counters.rs
@@ -1,139 +1,146 @@
-//! Counts what happens to webhooks, and logs the counts in one line from time to time.
+//! Counts what happens to webhooks, and periodically logs the counts in one line.
 
 use scalebarrow::Outcome;
 use tracing::info;
 
-/// Between two lines with counts, in seconds.
-const LOG_PAUSE: f64 = 10.0;
+/// Time between two log lines with counts.
+const LOG_INTERVAL_SECS: f64 = 10.0;
 
-/// A move of a webhook from one state to another.
+/// What can happen to a webhook or to an attempt for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(usize)]
-pub enum Transition {
-    /// Handed in and taken on.
-    Taken,
-    /// Handed in again: it is taken on already.
-    Known,
-    /// Turned away by the decision module.
+pub enum WebhookEvent {
+    /// The webhook was handed in and accepted.
+    Accepted,
+    /// The webhook was handed in again after it had been accepted.
+    Duplicate,
+    /// The decision module rejected the webhook when it was handed in.
     Rejected,
-    /// Turned away as there is no room, or the folder fails.
-    NoRoom,
-    /// Found by a start, and back with the decision module.
+    /// The webhook was refused: the sender is at its limits, or the journal cannot be written.
+    NoSpace,
+    /// The webhook was found in the journal at start and went back to the decision module.
     Resumed,
-    /// An attempt went out.
-    Out,
-    /// One of these while an earlier attempt may have run.
-    Repeated,
-    /// An attempt was held back as its connection came up.
+    /// An attempt is written to its connection.
+    AttemptStarted,
+    /// The same, while an earlier attempt may have run.
+    AttemptRepeated,
+    /// An attempt was held back when its connection was open.
     HeldBack,
-    /// An attempt came back: delivered.
+    /// The attempt ended: the webhook was delivered.
     Delivered,
-    /// Answered with an error.
+    /// The attempt ended: the response was an error.
     Failed,
-    /// Turned away.
+    /// The attempt ended: the endpoint refused the webhook unprocessed.
     Full,
-    /// No answer in time.
+    /// The attempt ended: no response in time.
     TimedOut,
-    /// No connection.
+    /// The attempt ended: no connection.
     ConnectFailed,
-    /// The connection ended.
+    /// The attempt ended: the connection was closed.
     Reset,
-    /// Called off.
+    /// The attempt ended: it was cancelled.
     Cancelled,
-    /// Not made, or over.
+    /// The attempt ended: it was not made, or the destination had nothing to do.
     Moot,
-    /// Given up, harmless to hand in again.
+    /// The webhook was given up, and can safely be handed in again.
     Returned,
-    /// Given up, with no promise.
+    /// The webhook was given up, and may have run.
     DeadLettered,
-    /// Its client went away.
+    /// The client disconnected, and the webhook was withdrawn.
     Withdrawn,
-    /// Its final answer waits for its record.
+    /// The final answer is not reported until it is recorded.
     Withheld,
 }
 
-impl Transition {
-    /// All of them with their names in the log.
-    pub const ALL: [(Transition, &'static str); 20] = [
-        (Transition::Taken, "taken"),
-        (Transition::Known, "known"),
-        (Transition::Rejected, "rejected"),
-        (Transition::NoRoom, "no-room"),
-        (Transition::Resumed, "resumed"),
-        (Transition::Out, "out"),
-        (Transition::Repeated, "repeated"),
-        (Transition::HeldBack, "held-back"),
-        (Transition::Delivered, "delivered"),
-        (Transition::Failed, "failed"),
-        (Transition::Full, "full"),
-        (Transition::TimedOut, "timed-out"),
-        (Transition::ConnectFailed, "connect-failed"),
-        (Transition::Reset, "reset"),
-        (Transition::Cancelled, "cancelled"),
-        (Transition::Moot, "moot"),
-        (Transition::Returned, "returned"),
-        (Transition::DeadLettered, "dead-lettered"),
-        (Transition::Withdrawn, "withdrawn"),
-        (Transition::Withheld, "withheld"),
+impl WebhookEvent {
+    /// All events with their names in the log, in the order of the variants.
+    pub const ALL: [(WebhookEvent, &'static str); 20] = [
+        (WebhookEvent::Accepted, "taken"),
+        (WebhookEvent::Duplicate, "known"),
+        (WebhookEvent::Rejected, "rejected"),
+        (WebhookEvent::NoSpace, "no-room"),
+        (WebhookEvent::Resumed, "resumed"),
+        (WebhookEvent::AttemptStarted, "out"),
+        (WebhookEvent::AttemptRepeated, "repeated"),
+        (WebhookEvent::HeldBack, "held-back"),
+        (WebhookEvent::Delivered, "delivered"),
+        (WebhookEvent::Failed, "failed"),
+        (WebhookEvent::Full, "full"),
+        (WebhookEvent::TimedOut, "timed-out"),
+        (WebhookEvent::ConnectFailed, "connect-failed"),
+        (WebhookEvent::Reset, "reset"),
+        (WebhookEvent::Cancelled, "cancelled"),
+        (WebhookEvent::Moot, "moot"),
+        (WebhookEvent::Returned, "returned"),
+        (WebhookEvent::DeadLettered, "dead-lettered"),
+        (WebhookEvent::Withdrawn, "withdrawn"),
+        (WebhookEvent::Withheld, "withheld"),
     ];
 }
 
-impl From<Outcome> for Transition {
+impl From<Outcome> for WebhookEvent {
     fn from(outcome: Outcome) -> Self {
         match outcome {
-            Outcome::Delivered => Transition::Delivered,
-            Outcome::Failed => Transition::Failed,
-            Outcome::Full(_) => Transition::Full,
-            Outcome::TimedOut => Transition::TimedOut,
-            Outcome::ConnectFailed => Transition::ConnectFailed,
-            Outcome::Reset => Transition::Reset,
-            Outcome::Cancelled => Transition::Cancelled,
-            Outcome::Moot(_) => Transition::Moot,
+            Outcome::Delivered => WebhookEvent::Delivered,
+            Outcome::Failed => WebhookEvent::Failed,
+            Outcome::Full(_) => WebhookEvent::Full,
+            Outcome::TimedOut => WebhookEvent::TimedOut,
+            Outcome::ConnectFailed => WebhookEvent::ConnectFailed,
+            Outcome::Reset => WebhookEvent::Reset,
+            Outcome::Cancelled => WebhookEvent::Cancelled,
+            Outcome::Moot(_) => WebhookEvent::Moot,
         }
     }
 }
 
-/// How often each happened since the last line, and in all.
+/// How often each event happened since the last log line, and in total.
 #[derive(Debug, Default)]
 pub struct Counters {
-    since_line: [u64; Transition::ALL.len()],
-    in_all: [u64; Transition::ALL.len()],
-    logged_at: f64,
+    since_last_line: [u64; WebhookEvent::ALL.len()],
+    totals: [u64; WebhookEvent::ALL.len()],
+    last_line_at: f64,
 }
 
 impl Counters {
-    /// Counters that start now.
+    /// Counters at zero; the first log line is due one interval after `now`.
     pub fn new(now: f64) -> Counters {
-        Counters { logged_at: now, ..Counters::default() }
+        Counters { last_line_at: now, ..Counters::default() }
     }
 
-    /// Counts one.
-    pub fn count(&mut self, transition: Transition) {
-        self.since_line[transition as usize] += 1;
-        self.in_all[transition as usize] += 1;
+    /// Counts one event.
+    pub fn count(&mut self, event: WebhookEvent) {
+        self.since_last_line[event as usize] += 1;
+        self.totals[event as usize] += 1;
     }
 
-    /// How often it happened in all.
-    pub fn total(&self, transition: Transition) -> u64 {
-        self.in_all[transition as usize]
+    /// How often an event happened in total.
+    pub fn total(&self, event: WebhookEvent) -> u64 {
+        self.totals[event as usize]
     }
 
-    /// The counts since the last line that are not 0, where a line is due and there is one.
-    pub fn due_line(&mut self, now: f64) -> Option<String> {
-        if now < self.logged_at + LOG_PAUSE {
+    /// If a log line is due, the counts above 0 since the last one; `None` if all are 0.
+    pub fn take_due_line(&mut self, now: f64) -> Option<String> {
+        if now < self.last_line_at + LOG_INTERVAL_SECS {
             return None;
         }
-        self.logged_at = now;
-        let counts = std::mem::take(&mut self.since_line);
-        let named = Transition::ALL.iter().zip(counts).filter(|(_, count)| *count > 0);
-        let texts: Vec<String> = named.map(|((_, name), count)| format!("{name}={count}")).collect();
+        self.last_line_at = now;
+        let counts = std::mem::take(&mut self.since_last_line);
+        let named_counts = WebhookEvent::ALL.iter().zip(counts).filter(|(_, count)| *count > 0);
+        let texts: Vec<String> = named_counts.map(|((_, name), count)| format!("{name}={count}")).collect();
         (!texts.is_empty()).then(|| texts.join(" "))
     }
 
-    /// Logs the counts where a line is due. `held` webhooks have no final answer, `owed` final answers are not acknowledged.
-    pub fn log_due(&mut self, now: f64, held: usize, owed: usize) {
-        if let Some(counts) = self.due_line(now) {
-            info!(code = "counts", held, owed, counts, "since the last such line");
+    /// Logs the counts if a line is due, with the number of open webhooks and of unacknowledged final
+    /// answers.
+    pub fn log_if_due(&mut self, now: f64, open_count: usize, unacknowledged_count: usize) {
+        if let Some(counts) = self.take_due_line(now) {
+            info!(
+                code = "counts",
+                held = open_count,
+                owed = unacknowledged_count,
+                counts,
+                "counts since the last such line"
+            );
         }
     }
 }
@@ -143,23 +150,23 @@
     use super::*;
 
     #[test]
-    fn a_line_tells_what_happened_since_the_last_one() {
+    fn a_line_holds_the_counts_since_the_last_one() {
         let mut counters = Counters::new(100.0);
-        counters.count(Transition::Taken);
-        counters.count(Transition::Taken);
-        counters.count(Transition::from(Outcome::Full(0.5)));
-        assert_eq!(counters.due_line(105.0), None);
-        assert_eq!(counters.due_line(110.0).as_deref(), Some("taken=2 full=1"));
-        counters.count(Transition::Taken);
-        assert_eq!(counters.due_line(120.0).as_deref(), Some("taken=1"));
-        assert_eq!(counters.due_line(130.0), None);
-        assert_eq!(counters.total(Transition::Taken), 3);
+        counters.count(WebhookEvent::Accepted);
+        counters.count(WebhookEvent::Accepted);
+        counters.count(WebhookEvent::from(Outcome::Full(0.5)));
+        assert_eq!(counters.take_due_line(105.0), None);
+        assert_eq!(counters.take_due_line(110.0).as_deref(), Some("taken=2 full=1"));
+        counters.count(WebhookEvent::Accepted);
+        assert_eq!(counters.take_due_line(120.0).as_deref(), Some("taken=1"));
+        assert_eq!(counters.take_due_line(130.0), None);
+        assert_eq!(counters.total(WebhookEvent::Accepted), 3);
     }
 
     #[test]
-    fn names_stand_in_the_order_of_the_counts() {
-        for (place, (transition, _)) in Transition::ALL.iter().enumerate() {
-            assert_eq!(*transition as usize, place);
+    fn names_are_in_the_order_of_the_variants() {
+        for (index, (event, _)) in WebhookEvent::ALL.iter().enumerate() {
+            assert_eq!(*event as usize, index);
         }
     }
 }
--- a/crates/sender/src/endpoints.rs
+++ b/crates/sender/src/endpoints.rs
@@ -1,15 +1,16 @@
-//! Calls to the destinations' endpoints: how they are written, and what their answers mean.
+//! Calls to endpoints: the encoding of requests, the meaning of responses, and the connections that carry
+//! them.
 
 use crate::http::{Decoder, Headers, MAX_BODY_BYTES, Message, MessageHead, StartLine, decode_number};
 use crate::journal::AttemptNumber;
 use scalebarrow::Outcome;
 use std::collections::BTreeMap;
 
-/// An answer's body means little: a line for each webhook of a call at most.
-const MOST_ANSWER: usize = MAX_BODY_BYTES;
+/// A response's body holds at most one line for each webhook of a call.
+const MAX_RESPONSE_BODY_BYTES: usize = MAX_BODY_BYTES;
 
-/// A webhook as a call carries it.
-pub struct Load<'a> {
+/// A webhook as a request carries it.
+pub struct OutgoingWebhook<'a> {
     /// The webhook's id.
     pub id: &'a str,
     /// Its idempotency key.
@@ -18,60 +19,64 @@
     pub body: &'a [u8],
 }
 
-/// The call for one webhook, or for several; nothing where they do not fit in one body.
-pub fn encode(loads: &[Load], host: &str, wait: f64) -> Option<Vec<u8>> {
-    let wait = (wait * 1e3).max(0.0) as u64;
-    let common = format!("HTTP/1.1\r\nHost: {host}\r\nReq-Deadline: {wait}m\r\n");
-    if let [load] = loads {
-        let token = load.token.map_or(String::new(), |t| format!("Idempotency-Key: {t}\r\n"));
-        let size = load.body.len();
+/// Encodes the request for one webhook or for several; `None` if several do not fit in one body. `timeout` is
+/// the time in seconds that the endpoint has to answer.
+pub fn encode_request(webhooks: &[OutgoingWebhook], host: &str, timeout: f64) -> Option<Vec<u8>> {
+    let timeout = (timeout * 1e3).max(0.0) as u64;
+    let common = format!("HTTP/1.1\r\nHost: {host}\r\nReq-Deadline: {timeout}m\r\n");
+    if let [webhook] = webhooks {
+        let token = webhook.token.map_or(String::new(), |token| format!("Idempotency-Key: {token}\r\n"));
+        let length = webhook.body.len();
         let head =
-            format!("POST /inbox {common}Req-Id: {}\r\n{token}Content-Length: {size}\r\n\r\n", load.id);
-        return Some([head.as_bytes(), load.body].concat());
+            format!("POST /inbox {common}Req-Id: {}\r\n{token}Content-Length: {length}\r\n\r\n", webhook.id);
+        return Some([head.as_bytes(), webhook.body].concat());
     }
     let mut body = Vec::new();
-    for load in loads {
-        let line = format!("{} {} {}\r\n", load.id, load.token.unwrap_or("-"), load.body.len());
+    for webhook in webhooks {
+        let line = format!("{} {} {}\r\n", webhook.id, webhook.token.unwrap_or("-"), webhook.body.len());
         body.extend_from_slice(line.as_bytes());
-        body.extend_from_slice(load.body);
+        body.extend_from_slice(webhook.body);
         body.extend_from_slice(b"\r\n");
     }
     let head = format!("POST /inbox/bulk {common}Content-Length: {}\r\n\r\n", body.len());
     (body.len() <= MAX_BODY_BYTES).then(|| [head.as_bytes(), &body].concat())
 }
 
-/// The head of an answer.
+/// The head of an endpoint's response.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ResponseHead {
     /// The status code.
     pub status: u16,
-    /// Seconds to wait before the destination, or the route, is called again.
+    /// Seconds to wait before the destination, or this endpoint, is called again; 0 if the response asks for
+    /// no delay.
     pub retry_after: f64,
-    no_slot: bool,
-    /// Share of the limit that is left, and the limit in calls a second, where the answer tells them.
+    /// Whether the endpoint refused because no slot was free.
+    no_free_slot: bool,
+    /// The share of the destination's limit that is left, and the limit in calls per second, if the response
+    /// reports them.
     pub limit_report: Option<(f64, f64)>,
 }
 
 impl MessageHead for ResponseHead {
-    fn decode(start: &StartLine, fields: &Headers) -> Self {
+    fn decode(start: &StartLine, headers: &Headers) -> Self {
         let status = if let StartLine::Response { status } = start { *status } else { 0 };
-        let wait = fields.get("Retry-After").and_then(decode_number).unwrap_or(0.0);
-        let no_slot = fields.get("X-Over-Slots") == Some("1");
-        let load = fields.get("Srv-Load").and_then(|l| l.strip_prefix("TEXT"));
+        let retry_after = headers.get("Retry-After").and_then(decode_number).unwrap_or(0.0);
+        let no_free_slot = headers.get("X-Over-Slots") == Some("1");
+        let report = headers.get("Srv-Load").and_then(|header| header.strip_prefix("TEXT"));
         let value = |name: &str| {
-            let mut parts = load?.split(',').filter_map(|p| p.trim().split_once('='));
-            parts.find(|(n, _)| *n == name).and_then(|(_, v)| decode_number(v))
+            let mut pairs = report?.split(',').filter_map(|pair| pair.trim().split_once('='));
+            pairs.find(|(key, _)| *key == name).and_then(|(_, text)| decode_number(text))
         };
-        ResponseHead { status, retry_after: wait, no_slot, limit_report: value("x0").zip(value("x1")) }
+        ResponseHead { status, retry_after, no_free_slot, limit_report: value("x0").zip(value("x1")) }
     }
 }
 
-/// How a call ended for one webhook; `over` where nothing more is owed for it.
+/// How an attempt, one webhook's part in a call, ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AttemptResult {
-    /// What became of the attempt.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// Nothing more is owed: no further attempt is made.
+    /// Whether the webhook is finished: no further attempt is made and the platform needs no notice.
     pub is_final: bool,
 }
 
@@ -82,43 +87,43 @@
 }
 
 impl ResponseHead {
-    /// What the status says of a webhook that went alone, or of all in a call that fared alike.
-    fn ending(&self, alone: bool) -> AttemptResult {
+    /// The result that the status means: for the only webhook of a call, or for each of several.
+    fn attempt_result(&self, is_only_webhook: bool) -> AttemptResult {
         let outcome = match self.status {
             200 => Outcome::Delivered,
             429 => Outcome::Full(self.retry_after),
-            503 if self.no_slot => Outcome::Moot(true),
+            503 if self.no_free_slot => Outcome::Moot(true),
             503 => Outcome::Full(self.retry_after),
             504 => Outcome::Moot(false),
             410 => return AttemptResult { outcome: Outcome::Moot(false), is_final: true },
-            // Of a call of several that cannot be read, or holds too many, none has run.
-            400 | 413 if !alone => Outcome::Moot(false),
+            // The endpoint could not read a call of several webhooks, or it had too many: none has run.
+            400 | 413 if !is_only_webhook => Outcome::Moot(false),
             _ => Outcome::Failed,
         };
         outcome.into()
     }
 }
 
-/// The endings of a call's webhooks, in their order; nothing where the answer is garbage.
-pub fn attempt_results(answer: &Message<ResponseHead>, ids: &[&str]) -> Option<Vec<AttemptResult>> {
-    if ids.len() == 1 || answer.head.status != 200 {
-        return Some(vec![answer.head.ending(ids.len() == 1); ids.len()]);
+/// The results of a call's webhooks, in their order; `None` if the response's body is malformed.
+pub fn attempt_results(response: &Message<ResponseHead>, ids: &[&str]) -> Option<Vec<AttemptResult>> {
+    if ids.len() == 1 || response.head.status != 200 {
+        return Some(vec![response.head.attempt_result(ids.len() == 1); ids.len()]);
     }
-    let text = std::str::from_utf8(&answer.body).ok()?;
+    let text = std::str::from_utf8(&response.body).ok()?;
     let mut results = BTreeMap::new();
-    for line in text.lines().filter(|l| !l.is_empty()) {
-        let (id, word) = line.split_once(' ')?;
-        let ending = match word.trim() {
+    for line in text.lines().filter(|line| !line.is_empty()) {
+        let (id, state) = line.split_once(' ')?;
+        let result = match state.trim() {
             "ok" => Outcome::Delivered.into(),
             "error" => Outcome::Failed.into(),
-            "later" => Outcome::Full(answer.head.retry_after).into(),
+            "later" => Outcome::Full(response.head.retry_after).into(),
             "gone" => AttemptResult { outcome: Outcome::Moot(false), is_final: true },
             "exhausted" => Outcome::Moot(false).into(),
             _ => return None,
         };
-        results.insert(id, ending);
+        results.insert(id, result);
     }
-    // One that the answer leaves out may have run.
+    // A webhook that the response does not name may have run.
     Some(ids.iter().map(|id| results.get(id).copied().unwrap_or(Outcome::Failed.into())).collect())
 }
 
@@ -129,68 +134,71 @@
     pub number: u64,
     /// Its id.
     pub id: String,
-    /// The attempt, once it is recorded in the journal: only then may the call be written.
+    /// The attempt, once it is recorded in the journal. The call may be written only then.
     pub attempt: Option<AttemptNumber>,
 }
 
 impl CalledWebhook {
-    /// A webhook whose attempt is not recorded yet.
+    /// A webhook whose attempt is not yet recorded.
     pub fn new(number: u64, id: String) -> Self {
         CalledWebhook { number, id, attempt: None }
     }
 }
 
-/// A call that waits for its connection, or is out on it.
+/// A call that waits for its connection or is in flight.
 #[derive(Debug)]
 pub struct Call {
-    /// The endpoint's name in the list.
+    /// The endpoint's name.
     pub endpoint: String,
     /// The endpoint's zone.
     pub zone: String,
-    /// The webhooks in it.
+    /// The webhooks that it carries.
     pub webhooks: Vec<CalledWebhook>,
-    /// When it was decided.
+    /// When the decision module requested it.
     pub decided_at: f64,
     /// When it is given up.
     pub give_up_at: f64,
-    /// Its last byte is written by then, or it is given up before.
+    /// When it is given up if its last byte is not written by then.
     pub write_deadline: f64,
-    /// The request as it is written; empty once it is on its connection.
+    /// The encoded request; empty once it was handed to its connection.
     pub request: Vec<u8>,
-    /// The last byte is written: from then on a webhook may run.
+    /// Whether its last byte is written. From then on its webhooks may run.
     pub written: bool,
 }
 
-/// One connection to an endpoint. It carries one call at a time.
+/// A connection to an endpoint. It carries one call at a time.
 #[derive(Debug)]
 pub struct EndpointConnection {
-    /// The endpoint's name in the list.
+    /// The endpoint's name.
     pub name: String,
-    /// The call that waits for the connection, or is out on it.
+    /// The call that waits for the connection to open, or is in flight on it.
     pub call: Option<Call>,
-    /// Reads the answers.
+    /// Decodes the responses.
     pub decoder: Decoder<ResponseHead>,
 }
 
 impl EndpointConnection {
-    /// A connection that carries nothing yet.
+    /// A connection without a call.
     pub fn new(name: String) -> Self {
-        EndpointConnection { name, call: None, decoder: Decoder::for_responses(MOST_ANSWER) }
+        EndpointConnection { name, call: None, decoder: Decoder::for_responses(MAX_RESPONSE_BODY_BYTES) }
     }
 
-    /// How the call ended when the connection broke, or the sender stopped waiting (`otherwise`).
+    /// The results of a call whose connection broke, or for which the sender stopped waiting. `otherwise` is
+    /// the outcome if the response so far says nothing else and the call was written.
     pub fn results_when_cut_short(
         &mut self, call: &Call, otherwise: Outcome,
     ) -> (Vec<AttemptResult>, ResponseHead) {
         let count = call.webhooks.len();
-        if let Some(answer) = self.decoder.end_of_stream() {
-            let ids: Vec<&str> = call.webhooks.iter().map(|w| w.id.as_str()).collect();
-            let garbage = || vec![Outcome::Reset.into(); count];
-            return (attempt_results(&answer, &ids).unwrap_or_else(garbage), answer.head);
+        if let Some(response) = self.decoder.end_of_stream() {
+            let ids: Vec<&str> = call.webhooks.iter().map(|webhook| webhook.id.as_str()).collect();
+            let malformed = || vec![Outcome::Reset.into(); count];
+            return (attempt_results(&response, &ids).unwrap_or_else(malformed), response.head);
         }
-        // Of a spoilt answer only a first line with 200 is true, where one webhook went alone. Any other, also one that
-        // seems to say that nothing has run, stands for a call that may have run once it was written.
-        let status = self.decoder.pending_head().map(|h| h.status).or_else(|| self.decoder.pending_status());
+        // Of an incomplete or malformed response only a first line with 200 is trusted, if the call has one
+        // webhook. Any other status, even one that means that nothing has run, counts as a call that may have
+        // run if it was written.
+        let status =
+            self.decoder.pending_head().map(|head| head.status).or_else(|| self.decoder.pending_status());
         let outcome = match status {
             Some(200) if count == 1 => Outcome::Delivered,
             _ if call.written => otherwise,
@@ -200,35 +208,35 @@
     }
 }
 
-/// Idle connections by endpoint, the last used at the end.
+/// The idle connections of each endpoint by connection id, the most recently used at the end.
 #[derive(Debug, Default)]
 pub struct ConnectionPool(BTreeMap<String, Vec<usize>>);
 
 impl ConnectionPool {
-    /// Takes in a connection that carries nothing.
-    pub fn put(&mut self, endpoint: &str, connection: usize) {
-        self.0.entry(endpoint.to_owned()).or_default().push(connection);
+    /// Adds a connection that has become idle.
+    pub fn put(&mut self, endpoint: &str, connection_id: usize) {
+        self.0.entry(endpoint.to_owned()).or_default().push(connection_id);
     }
 
-    /// The connection that was used last: it is the least likely to be closing.
+    /// Takes the most recently used connection: it is the least likely to be closed by the endpoint soon.
     pub fn take(&mut self, endpoint: &str) -> Option<usize> {
         self.0.get_mut(endpoint)?.pop()
     }
 
-    /// Forgets a connection.
-    pub fn remove(&mut self, endpoint: &str, connection: usize) {
-        if let Some(connections) = self.0.get_mut(endpoint) {
-            connections.retain(|other| *other != connection);
+    /// Removes a connection.
+    pub fn remove(&mut self, endpoint: &str, connection_id: usize) {
+        if let Some(connection_ids) = self.0.get_mut(endpoint) {
+            connection_ids.retain(|other_id| *other_id != connection_id);
         }
-        self.0.retain(|_, connections| !connections.is_empty());
+        self.0.retain(|_, connection_ids| !connection_ids.is_empty());
     }
 
-    /// Gives up all idle connections to an endpoint.
+    /// Takes all connections to an endpoint.
     pub fn take_all(&mut self, endpoint: &str) -> Vec<usize> {
         self.0.remove(endpoint).unwrap_or_default()
     }
 
-    /// One to close where descriptors are short: the one opened first.
+    /// The connection that was opened first: the one to close when file descriptors run out.
     pub fn oldest(&self) -> Option<usize> {
         self.0.values().flatten().min().copied()
     }
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -1,18 +1,21 @@
-//! What outlives the process: webhooks taken on, the attempts made for them, final answers that are owed. It is kept
-//! in a [`Store`]; in memory a webhook takes a few dozen bytes, and its body, id and names are read when needed.
+//! The persistent journal: accepted webhooks, the attempts made for them, and final answers that the platform
+//! has not yet acknowledged. Each webhook has a number, in the order of acceptance. Records are kept in a
+//! [`Store`]; in memory a webhook takes a few dozen bytes, and its body, id and names are read from disk when
+//! needed.
 
+mod attempts;
 mod cache;
-mod form;
+mod format;
 mod legacy;
 mod records;
-mod tries;
 
-use crate::backlog::Resumable;
+use crate::backlog::PendingWebhook;
 use crate::clock::{BootReading, Timeline};
+use attempts::AttemptTable;
 use cache::Cache;
-use form::Form;
-use records::Facts;
-pub use records::{AttemptNumber, End, Trace, Tries, Webhook, key_hash};
+use format::Format;
+use records::WebhookMetadata;
+pub use records::{AttemptHistory, AttemptNumber, AttemptStart, FinalAnswer, Webhook, hash_ordering_key};
 use scalebarrow_store::{
     Files, FolderFiles, OnError, OpenSummary, Record, RecordKind, RecordPosition, ReplayedRecord, Store,
 };
@@ -21,59 +24,61 @@
 use std::path::Path;
 use std::rc::Rc;
 use tracing::{error, info, warn};
-use tries::TriesTable;
 
-/// The tags of values: a webhook without a final answer, and a final answer that is owed.
+/// The tag of a value that holds a webhook without a final answer.
 const OPEN: u8 = 0;
-const OWED: u8 = 1;
-/// Room for the records that will follow that of a webhook; it counts as soon as it is taken on.
-const UPKEEP: u64 = 256;
-/// Of those that have ended, the ids of so many of the last are known again after a start.
-const MOST_ENDED: usize = 1024;
-/// Webhooks that are read are kept for a moment, in so many bytes at most.
-const CACHE: usize = 1024 * 1024;
-
+/// The tag of a value that holds a final answer without an acknowledgement.
+const UNACKNOWLEDGED: u8 = 1;
+/// Disk space reserved for the records that follow that of a webhook, from its acceptance on.
+const RESERVED_BYTES_PER_WEBHOOK: u64 = 256;
+/// The number of most recently ended webhooks whose ids are known after a restart.
+const MAX_ENDED_IDS: usize = 1024;
+/// The limit of the cache of webhooks.
+const CACHE_BYTES: usize = 1024 * 1024;
+
+/// The journal of a folder.
 pub struct Journal<F = FolderFiles> {
     store: Store<F>,
     timeline: Timeline,
-    /// The folder's timeline went on at the start.
+    /// Whether the stored timeline was still valid when the journal was opened.
     same_boot: bool,
-    /// By the hash of the id, those without a final answer.
-    ids: BTreeSet<(u64, u64)>,
-    tries: TriesTable,
+    /// Open webhooks as pairs of id hash and number.
+    open_ids: BTreeSet<(u64, u64)>,
+    attempts: AttemptTable,
     cache: Cache,
-    open: usize,
-    next: u64,
-    /// Found by the start: those without a final answer, and the ids of those that had ended last.
-    resumable: Vec<Resumable>,
-    ended: Vec<String>,
+    open_count: usize,
+    next_number: u64,
+    /// The webhooks that were open when the journal was opened.
+    pending: Vec<PendingWebhook>,
+    /// The ids of those that had ended last by then.
+    ended_ids: Vec<String>,
 }
 
-/// What a start gathers from the records.
+/// What opening the journal collects from its records.
 #[derive(Default)]
 struct Replay {
-    facts: BTreeMap<u64, Facts>,
-    tries: TriesTable,
+    open: BTreeMap<u64, WebhookMetadata>,
+    attempts: AttemptTable,
     ended: VecDeque<(RecordKind, RecordPosition)>,
-    last: u64,
+    last_number: u64,
 }
 
 impl Replay {
-    fn record(&mut self, record: ReplayedRecord) {
-        let ReplayedRecord { kind, tag, key: number, metadata: meta, position } = record;
-        self.last = self.last.max(number);
+    fn apply(&mut self, record: ReplayedRecord) {
+        let ReplayedRecord { kind, tag, key: number, metadata, position } = record;
+        self.last_number = self.last_number.max(number);
         match (kind, tag) {
-            (RecordKind::Value, OPEN) => _ = self.facts.insert(number, Facts::decode(meta)),
+            (RecordKind::Value, OPEN) => _ = self.open.insert(number, WebhookMetadata::decode(metadata)),
             (RecordKind::State, _) => {
-                if let Ok(tries) = postcard::from_bytes(meta) {
-                    self.tries.set(number, &tries);
+                if let Ok(history) = postcard::from_bytes(metadata) {
+                    self.attempts.set(number, &history);
                 }
             }
             (RecordKind::Value | RecordKind::Tombstone, _) => {
-                self.facts.remove(&number);
-                self.tries.remove(number);
+                self.open.remove(&number);
+                self.attempts.remove(number);
                 self.ended.push_back((kind, position));
-                if self.ended.len() > MOST_ENDED {
+                if self.ended.len() > MAX_ENDED_IDS {
                     self.ended.pop_front();
                 }
             }
@@ -87,288 +92,332 @@
 }
 
 impl Journal {
-    /// Opens the folder's journal, or starts one. `most` is the limit in bytes. A folder of the program before segments
-    /// is carried over. The count is of bytes of unfinished records that were dropped.
-    pub fn open(folder: &Path, most: usize, reading: &BootReading) -> io::Result<(Journal, usize)> {
-        Self::open_files(FolderFiles::new(folder), most, reading)
+    /// Opens the folder's journal, or creates one that takes up at most `max_bytes`. A folder of an older
+    /// version is converted. Also returns how many bytes of incomplete records were dropped.
+    pub fn open(folder: &Path, max_bytes: usize, reading: &BootReading) -> io::Result<(Journal, usize)> {
+        Self::open_files(FolderFiles::new(folder), max_bytes, reading)
     }
 }
 
 impl<F: Files> Journal<F> {
-    /// Opens the journal among the files, as [`Journal::open`] does.
-    pub fn open_files(mut files: F, most: usize, reading: &BootReading) -> io::Result<(Self, usize)> {
-        match Form::read(&mut files)? {
-            Form::Present(timeline) => {
-                let (mut journal, torn) = Self::open_store(files, most, reading)?;
-                journal.go_on(timeline, reading);
-                Ok((journal, torn))
+    /// Opens the journal in the given files, as [`Journal::open`] does.
+    pub fn open_files(mut files: F, max_bytes: usize, reading: &BootReading) -> io::Result<(Self, usize)> {
+        match Format::read(&mut files)? {
+            Format::Current(timeline) => {
+                let (mut journal, dropped_bytes) = Self::open_store(files, max_bytes, reading)?;
+                journal.continue_timeline(timeline, reading);
+                Ok((journal, dropped_bytes))
+            }
+            Format::UnixTime => {
+                let (mut journal, dropped_bytes) = Self::open_store(files, max_bytes, reading)?;
+                journal.convert_from_unix_time(reading)?;
+                Ok((journal, dropped_bytes))
             }
-            Form::UnixTime => {
-                let (mut journal, torn) = Self::open_store(files, most, reading)?;
-                journal.leave_unix_time(reading)?;
-                Ok((journal, torn))
+            Format::SingleFile => Self::convert_from_single_file(files, max_bytes, reading),
+            Format::Unknown => {
+                Err(io::Error::new(io::ErrorKind::InvalidData, "holds a journal in an unknown format"))
             }
-            Form::SingleFile => Self::carry_over(files, most, reading),
-            Form::Other => Err(io::Error::new(io::ErrorKind::InvalidData, "holds a journal of another form")),
-            Form::Missing => {
-                let timeline = Timeline::begin(reading);
-                form::write(&mut files, &timeline)?;
-                let (mut journal, torn) = Self::open_store(files, most, reading)?;
+            Format::Missing => {
+                let timeline = Timeline::new(reading);
+                format::write(&mut files, &timeline)?;
+                let (mut journal, dropped_bytes) = Self::open_store(files, max_bytes, reading)?;
                 journal.timeline = timeline;
-                Ok((journal, torn))
+                Ok((journal, dropped_bytes))
             }
         }
     }
 
-    /// The timeline that the times in the folder are on.
+    /// The timeline of the folder's times.
     pub fn timeline(&self) -> Timeline {
         self.timeline
     }
 
-    /// The times in the folder were on this boot's clock when it was opened.
+    /// Whether the machine has not been rebooted since the folder's last process, as far as that is known.
     pub fn is_same_boot(&self) -> bool {
         self.same_boot
     }
 
-    /// Goes on with the timeline that was read, or begins one behind it where that cannot be.
-    fn go_on(&mut self, read: Option<Timeline>, reading: &BootReading) {
-        let last_event = self.tries.last_attempt();
-        if let Some(timeline) = read.filter(|timeline| timeline.goes_on(last_event, reading)) {
+    /// Continues the stored timeline if it is still valid, or else starts one that is later than all stored
+    /// times.
+    fn continue_timeline(&mut self, stored: Option<Timeline>, reading: &BootReading) {
+        let last_event_at = self.attempts.last_attempt_at();
+        if let Some(timeline) = stored.filter(|timeline| timeline.is_valid_at(last_event_at, reading)) {
             (self.timeline, self.same_boot) = (timeline, true);
             return;
         }
-        self.timeline = Timeline::begin_behind(self.reached(), reading);
-        info!(code = "clock-new", "the machine was booted since, or that cannot be told: all spans are over");
-        // Where it cannot be written the next start begins behind this one again.
-        if let Err(e) = form::write(self.store.files_mut(), &self.timeline) {
-            warn!(code = "journal-write", %e, "the clock's place could not be written");
+        self.timeline = Timeline::after_reboot(self.latest_time(), reading);
+        info!(
+            code = "clock-new",
+            "the machine was rebooted, or may have been: all stored time spans have ended"
+        );
+        // If this write fails, the next start again begins a later timeline.
+        if let Err(e) = format::write(self.store.files_mut(), &self.timeline) {
+            warn!(code = "journal-write", %e, "the timeline could not be written");
         }
     }
 
     /// The latest time that a record names.
-    fn reached(&self) -> f64 {
-        let ends = self.resumable.iter().map(|webhook| webhook.ends_at);
-        ends.fold(self.tries.last_attempt(), f64::max)
-    }
-
-    /// Carries a folder over whose times are Unix time: how old they are cannot be told. Its program could take an attempt
-    /// that may have run for one that had not, where it only counted it.
-    fn leave_unix_time(&mut self, reading: &BootReading) -> io::Result<()> {
-        for number in self.tries.without_trace() {
-            let mut tries = self.tries.get(number);
-            tries.ran = Some(Trace::default());
-            self.write_tries(number, &tries, OnError::Discard)?;
+    fn latest_time(&self) -> f64 {
+        let expiry_times = self.pending.iter().map(|webhook| webhook.expires_at);
+        expiry_times.fold(self.attempts.last_attempt_at(), f64::max)
+    }
+
+    /// Converts a folder whose times are Unix time: how long ago they were is unknown. Its version may have
+    /// recorded an attempt that may have run as one that had not, so each webhook whose attempts are only
+    /// counted is marked.
+    fn convert_from_unix_time(&mut self, reading: &BootReading) -> io::Result<()> {
+        for number in self.attempts.only_counted() {
+            let mut history = self.attempts.get(number);
+            history.may_have_run = Some(AttemptStart::default());
+            self.write_history(number, &history, OnError::Discard)?;
         }
-        self.timeline = Timeline::begin_behind(self.reached(), reading);
-        form::write(self.store.files_mut(), &self.timeline)
+        self.timeline = Timeline::after_reboot(self.latest_time(), reading);
+        format::write(self.store.files_mut(), &self.timeline)
     }
 
-    fn open_store(files: F, most: usize, reading: &BootReading) -> io::Result<(Self, usize)> {
+    fn open_store(files: F, max_bytes: usize, reading: &BootReading) -> io::Result<(Self, usize)> {
         let mut replay = Replay::default();
-        let (mut store, OpenSummary { torn_bytes: torn, .. }) =
-            Store::open(files, limit(most), |record| replay.record(record))?;
-        let Replay { facts, mut tries, ended, last } = replay;
-        tries.retain(|number| facts.contains_key(&number));
-        let ended = ended.into_iter().filter_map(|(kind, position)| ended_id(&mut store, kind, position));
-        let ended = ended.collect();
-        let ids = facts.iter().map(|(number, facts)| (facts.id, *number)).collect();
-        let open = facts.len();
-        let resumable = facts.into_iter().map(|(number, facts)| facts.resumable(number)).collect();
-        let cache = Cache::new(CACHE);
-        let next = last + 1;
-        let timeline = Timeline::begin(reading);
+        let (mut store, OpenSummary { torn_bytes: dropped_bytes, .. }) =
+            Store::open(files, segments_limit(max_bytes), |record| replay.apply(record))?;
+        let Replay { open, mut attempts, ended, last_number } = replay;
+        attempts.retain(|number| open.contains_key(&number));
+        let ended_ids =
+            ended.into_iter().filter_map(|(kind, position)| read_ended_id(&mut store, kind, position));
+        let ended_ids = ended_ids.collect();
+        let open_ids = open.iter().map(|(number, metadata)| (metadata.id_hash, *number)).collect();
+        let open_count = open.len();
+        let pending = open.into_iter().map(|(number, metadata)| metadata.pending(number)).collect();
+        let cache = Cache::new(CACHE_BYTES);
+        let next_number = last_number + 1;
+        let timeline = Timeline::new(reading);
         let same_boot = false;
-        let journal = Journal { store, timeline, same_boot, ids, tries, cache, open, next, resumable, ended };
-        Ok((journal, torn as usize))
+        let journal = Journal {
+            store,
+            timeline,
+            same_boot,
+            open_ids,
+            attempts,
+            cache,
+            open_count,
+            next_number,
+            pending,
+            ended_ids,
+        };
+        Ok((journal, dropped_bytes as usize))
     }
 
-    /// Writes what an older program's file holds into segments. Until that is whole the file stands; a process that is
-    /// killed before begins anew.
-    fn carry_over(mut files: F, most: usize, reading: &BootReading) -> io::Result<(Self, usize)> {
+    /// Writes the contents of an older version's single file into segments. The file stays until all is
+    /// written; if the process is killed before, the next one starts over.
+    fn convert_from_single_file(
+        mut files: F, max_bytes: usize, reading: &BootReading,
+    ) -> io::Result<(Self, usize)> {
         for name in files.list()?.iter().filter(|name| name.starts_with("segment-")) {
             files.remove(name)?;
         }
-        let old = legacy::Contents::read(&mut files, form::FILE)?;
-        let (mut journal, _) = Self::open_store(files, most, reading)?;
-        // Whether they fit was judged when they were taken on.
+        let contents = legacy::Contents::read(&mut files, format::FILE_NAME)?;
+        let (mut journal, _) = Self::open_store(files, max_bytes, reading)?;
+        // The space for them was checked when they were accepted.
         journal.store.enforce_disk_limit(false);
-        old.write(&mut journal)?;
-        let torn = old.torn;
-        let (mut journal, _) = Self::open_store(journal.store.into_files(), most, reading)?;
-        journal.leave_unix_time(reading)?;
-        Ok((journal, torn))
+        contents.write(&mut journal)?;
+        let dropped_bytes = contents.torn_bytes;
+        let (mut journal, _) = Self::open_store(journal.store.into_files(), max_bytes, reading)?;
+        journal.convert_from_unix_time(reading)?;
+        Ok((journal, dropped_bytes))
     }
 
-    /// Changes the limit in bytes.
-    pub fn set_most(&mut self, most: usize) {
-        self.store.set_disk_limit(limit(most));
+    /// Changes the limit of the folder's size.
+    pub fn set_max_bytes(&mut self, max_bytes: usize) {
+        self.store.set_disk_limit(segments_limit(max_bytes));
     }
 
-    /// There is room to take on a webhook of that size and to write down all that follows from it.
-    pub fn has_room(&self, webhook: &Webhook) -> bool {
-        let promised = UPKEEP * (self.open as u64 + 1);
-        self.store.has_space_for(records::FACTS, webhook.size(), promised)
+    /// Whether the disk limit leaves space for this webhook and for all records that will follow from it.
+    pub fn has_space_for(&self, webhook: &Webhook) -> bool {
+        let reserved_bytes = RESERVED_BYTES_PER_WEBHOOK * (self.open_count as u64 + 1);
+        self.store.has_space_for(records::MAX_METADATA_BYTES, webhook.size(), reserved_bytes)
     }
 
-    /// A number above all that the folder knows.
+    /// A number above all that are in use.
     pub fn next_number(&self) -> u64 {
-        self.next
+        self.next_number
     }
 
-    /// How many have no final answer.
+    /// The number of open webhooks: those without a final answer.
     pub fn open_count(&self) -> usize {
-        self.open
+        self.open_count
     }
 
-    /// Those that had no final answer when it was opened, in the order they were taken on.
-    pub fn take_resumable(&mut self) -> Vec<Resumable> {
-        std::mem::take(&mut self.resumable)
+    /// Takes the webhooks that were open when the journal was opened, in the order of their acceptance.
+    pub fn take_pending(&mut self) -> Vec<PendingWebhook> {
+        std::mem::take(&mut self.pending)
     }
 
-    /// The ids of those that had ended last when it was opened.
-    pub fn take_ended(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.ended)
+    /// Takes the ids of the webhooks that had ended last when the journal was opened.
+    pub fn take_ended_ids(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.ended_ids)
     }
 
-    /// A step of compaction is due.
-    pub fn needs_step(&self) -> bool {
+    /// Whether a step of compaction is due.
+    pub fn needs_compaction(&self) -> bool {
         self.store.needs_compaction()
     }
 
-    /// Writes what happened and could not be written yet.
+    /// Writes the records of past events that could not be written before.
     pub fn write_deferred(&mut self) -> io::Result<()> {
         self.store.write_deferred()
     }
 
-    /// Makes one bounded step of compaction, where one is due.
-    pub fn step(&mut self) -> io::Result<()> {
+    /// Makes one bounded step of compaction, if one is due.
+    pub fn run_compaction_step(&mut self) -> io::Result<()> {
         self.store.run_compaction_step()
     }
 
-    /// The number of the webhook with this id, where it has no final answer.
-    pub fn find(&mut self, id: &str) -> Option<u64> {
-        let hash = records::id_hash(id);
-        let candidates: Vec<u64> = self.ids.range((hash, 0)..=(hash, u64::MAX)).map(|c| c.1).collect();
-        candidates.into_iter().find(|number| match self.webhook(*number) {
+    /// The number of the open webhook with this id.
+    pub fn find_open(&mut self, id: &str) -> Option<u64> {
+        let id_hash = records::hash_id(id);
+        let candidates: Vec<u64> =
+            self.open_ids.range((id_hash, 0)..=(id_hash, u64::MAX)).map(|entry| entry.1).collect();
+        candidates.into_iter().find(|number| match self.read_webhook(*number) {
             Ok(Some(webhook)) => webhook.id == id,
-            // It cannot be told: better not taken on than taken on twice.
+            // Unreadable: refusing a new webhook is better than accepting one twice.
             Err(_) => true,
             Ok(None) => false,
         })
     }
 
-    pub fn take(&mut self, number: u64, webhook: Webhook) -> io::Result<()> {
-        let facts = Facts::of(&webhook);
-        let (meta, payload) = (facts.encode(), to_bytes(&webhook)?);
-        let record =
-            Record { kind: RecordKind::Value, tag: OPEN, key: number, metadata: &meta, payload: &payload };
+    /// Records an accepted webhook.
+    pub fn record_webhook(&mut self, number: u64, webhook: Webhook) -> io::Result<()> {
+        let metadata = WebhookMetadata::of(&webhook);
+        let (encoded_metadata, payload) = (metadata.encode(), to_bytes(&webhook)?);
+        let record = Record {
+            kind: RecordKind::Value,
+            tag: OPEN,
+            key: number,
+            metadata: &encoded_metadata,
+            payload: &payload,
+        };
         self.store.append(&record, OnError::Discard)?;
-        self.next = self.next.max(number + 1);
-        self.open += 1;
-        self.ids.insert((facts.id, number));
+        self.next_number = self.next_number.max(number + 1);
+        self.open_count += 1;
+        self.open_ids.insert((metadata.id_hash, number));
         self.cache.put(number, Rc::new(webhook));
         Ok(())
     }
 
-    /// An attempt is about to be written to its connection. Nothing where the webhook has its final answer.
-    pub fn out(&mut self, number: u64, zone: &str, now: f64) -> io::Result<Option<AttemptNumber>> {
+    /// Records that an attempt is about to be written to its connection. Returns `None` if the webhook is not
+    /// open.
+    pub fn record_attempt_start(
+        &mut self, number: u64, zone: &str, now: f64,
+    ) -> io::Result<Option<AttemptNumber>> {
         if !self.is_open(number) {
             return Ok(None);
         }
-        let mut tries = self.tries.get(number);
-        let attempt = tries.out((zone.to_owned(), now));
-        self.write_tries(number, &tries, OnError::Discard)?;
+        let mut history = self.attempts.get(number);
+        let attempt = history.start_attempt((zone.to_owned(), now));
+        self.write_history(number, &history, OnError::Discard)?;
         Ok(Some(attempt))
     }
 
-    /// An attempt that was recorded came back; `ran` where it may have run.
-    pub fn back(&mut self, number: u64, attempt: AttemptNumber, ran: bool) -> io::Result<()> {
-        let mut tries = self.tries.get(number);
-        if !self.is_open(number) || !tries.back(attempt, ran) {
+    /// Records that an attempt ended; `may_have_run` says whether it may have run.
+    pub fn record_attempt_end(
+        &mut self, number: u64, attempt: AttemptNumber, may_have_run: bool,
+    ) -> io::Result<()> {
+        let mut history = self.attempts.get(number);
+        if !self.is_open(number) || !history.end_attempt(attempt, may_have_run) {
             return Ok(());
         }
-        self.write_tries(number, &tries, OnError::Defer)
+        self.write_history(number, &history, OnError::Defer)
     }
 
-    fn write_tries(&mut self, number: u64, tries: &Tries, on_error: OnError) -> io::Result<()> {
-        let meta = to_bytes(tries)?;
+    fn write_history(&mut self, number: u64, history: &AttemptHistory, on_error: OnError) -> io::Result<()> {
+        let metadata = to_bytes(history)?;
         let record =
-            Record { kind: RecordKind::State, tag: OPEN, key: number, metadata: &meta, payload: &[] };
+            Record { kind: RecordKind::State, tag: OPEN, key: number, metadata: &metadata, payload: &[] };
         let written = self.store.append(&record, on_error);
         if written.is_ok() || on_error == OnError::Defer {
-            self.tries.set(number, tries);
+            self.attempts.set(number, history);
         }
         written
     }
 
-    pub fn end(&mut self, number: u64, end: End) -> io::Result<()> {
+    /// Records the final answer of an open webhook.
+    pub fn record_final_answer(&mut self, number: u64, answer: FinalAnswer) -> io::Result<()> {
         if !self.is_open(number) {
             return Ok(());
         }
         let id = self.open_webhook(number).map(|webhook| webhook.id.clone());
-        self.forget(number, id.as_deref());
-        match (end, id) {
-            (End::Over, id) => self.remove(number, id.unwrap_or_default().as_bytes()),
-            (_, Some(id)) => self.write_owed(number, &id, end),
-            // Without its id nobody can be told.
-            (_, None) => self.remove(number, &[]),
+        self.remove_from_index(number, id.as_deref());
+        match (answer, id) {
+            (FinalAnswer::Over, id) => self.write_tombstone(number, id.unwrap_or_default().as_bytes()),
+            (_, Some(id)) => self.write_final_answer(number, &id, answer),
+            // Without its id the platform cannot be notified.
+            (_, None) => self.write_tombstone(number, &[]),
         }
     }
 
-    fn write_owed(&mut self, number: u64, id: &str, end: End) -> io::Result<()> {
-        let payload = to_bytes(&(id, end))?;
-        let record =
-            Record { kind: RecordKind::Value, tag: OWED, key: number, metadata: &[], payload: &payload };
+    fn write_final_answer(&mut self, number: u64, id: &str, answer: FinalAnswer) -> io::Result<()> {
+        let payload = to_bytes(&(id, answer))?;
+        let record = Record {
+            kind: RecordKind::Value,
+            tag: UNACKNOWLEDGED,
+            key: number,
+            metadata: &[],
+            payload: &payload,
+        };
         self.store.append(&record, OnError::Defer)
     }
 
-    /// It is as if it had never been handed in.
-    pub fn withdraw(&mut self, number: u64) -> io::Result<()> {
+    /// Records that an open webhook was withdrawn. Its id is forgotten, as if it had never been handed in.
+    pub fn record_withdrawal(&mut self, number: u64) -> io::Result<()> {
         if !self.is_open(number) {
             return Ok(());
         }
         let id = self.open_webhook(number).map(|webhook| webhook.id.clone());
-        self.forget(number, id.as_deref());
-        self.remove(number, &[])
+        self.remove_from_index(number, id.as_deref());
+        self.write_tombstone(number, &[])
     }
 
-    /// The notice of a final answer was acknowledged.
-    pub fn told(&mut self, number: u64) -> io::Result<()> {
-        if self.store.tag(number) == Some(OWED) { self.remove(number, &[]) } else { Ok(()) }
+    /// Records that the platform acknowledged the notice of a final answer.
+    pub fn record_acknowledgement(&mut self, number: u64) -> io::Result<()> {
+        if self.store.tag(number) == Some(UNACKNOWLEDGED) {
+            self.write_tombstone(number, &[])
+        } else {
+            Ok(())
+        }
     }
 
-    /// The payload is the id that is to be known again after a start, if any.
-    fn remove(&mut self, number: u64, payload: &[u8]) -> io::Result<()> {
+    /// Ends the number's life in the store. The payload is the id that is to be known after a restart, if
+    /// any.
+    fn write_tombstone(&mut self, number: u64, payload: &[u8]) -> io::Result<()> {
         let record = Record { kind: RecordKind::Tombstone, tag: 0, key: number, metadata: &[], payload };
         self.store.append(&record, OnError::Defer)
     }
 
-    /// It is not open any more.
-    fn forget(&mut self, number: u64, id: Option<&str>) {
-        self.open -= 1;
-        self.tries.remove(number);
+    /// Removes a webhook that is no longer open from the tables in memory.
+    fn remove_from_index(&mut self, number: u64, id: Option<&str>) {
+        self.open_count -= 1;
+        self.attempts.remove(number);
         self.cache.remove(number);
         match id {
-            Some(id) => _ = self.ids.remove(&(records::id_hash(id), number)),
-            None => self.ids.retain(|entry| entry.1 != number),
+            Some(id) => _ = self.open_ids.remove(&(records::hash_id(id), number)),
+            None => self.open_ids.retain(|entry| entry.1 != number),
         }
     }
 
-    /// It has no final answer yet.
+    /// Whether the webhook with this number has no final answer.
     pub fn is_open(&self, number: u64) -> bool {
         self.store.tag(number) == Some(OPEN)
     }
 
-    /// A webhook that has no final answer yet. One that cannot be read is told in the log.
+    /// An open webhook. If it cannot be read, the error is logged.
     pub fn open_webhook(&mut self, number: u64) -> Option<Rc<Webhook>> {
-        self.webhook(number).unwrap_or_else(|error| {
+        self.read_webhook(number).unwrap_or_else(|error| {
             error!(code = "journal-read", number, %error, "a webhook cannot be read");
             None
         })
     }
 
-    /// The same, with the error: `InvalidData` where it will never be readable.
-    pub fn webhook(&mut self, number: u64) -> io::Result<Option<Rc<Webhook>>> {
+    /// An open webhook, or the error: `InvalidData` if it can never be read.
+    pub fn read_webhook(&mut self, number: u64) -> io::Result<Option<Rc<Webhook>>> {
         if !self.is_open(number) {
             return Ok(None);
         }
@@ -376,20 +425,20 @@
             return Ok(Some(webhook));
         }
         let Some(payload) = self.store.read_value(number)? else { return Ok(None) };
-        let invalid = |e| io::Error::new(io::ErrorKind::InvalidData, e);
-        let webhook: Rc<Webhook> = Rc::new(postcard::from_bytes(&payload).map_err(invalid)?);
+        let invalid_data = |error| io::Error::new(io::ErrorKind::InvalidData, error);
+        let webhook: Rc<Webhook> = Rc::new(postcard::from_bytes(&payload).map_err(invalid_data)?);
         self.cache.put(number, webhook.clone());
         Ok(Some(webhook))
     }
 
-    /// What is known of the attempts for a webhook that has no final answer yet.
-    pub fn tries(&self, number: u64) -> Tries {
-        self.tries.get(number)
+    /// What is known of the attempts for an open webhook.
+    pub fn attempt_history(&self, number: u64) -> AttemptHistory {
+        self.attempts.get(number)
     }
 
-    /// The final answer that the platform has not acknowledged, with the webhook's id.
-    pub fn owed(&mut self, number: u64) -> Option<(String, End)> {
-        if self.store.tag(number) != Some(OWED) {
+    /// The webhook's id and final answer, if the platform has not acknowledged the answer.
+    pub fn unacknowledged_answer(&mut self, number: u64) -> Option<(String, FinalAnswer)> {
+        if self.store.tag(number) != Some(UNACKNOWLEDGED) {
             return None;
         }
         let payload = match self.store.read_value(number) {
@@ -402,21 +451,28 @@
         postcard::from_bytes(&payload).ok()
     }
 
-    pub fn all_owed(&self) -> Vec<u64> {
-        self.store.keys_with_tags().filter(|(_, tag)| *tag == OWED).map(|(number, _)| number).collect()
+    /// The numbers of the webhooks whose final answers the platform has not acknowledged.
+    pub fn unacknowledged_numbers(&self) -> Vec<u64> {
+        self.store
+            .keys_with_tags()
+            .filter(|(_, tag)| *tag == UNACKNOWLEDGED)
+            .map(|(number, _)| number)
+            .collect()
     }
 }
 
-/// What the segments may take up.
-fn limit(most: usize) -> u64 {
-    most.saturating_sub(form::SPACE) as u64
+/// The limit of all segments together, in bytes.
+fn segments_limit(max_bytes: usize) -> u64 {
+    max_bytes.saturating_sub(format::RESERVED_BYTES) as u64
 }
 
-/// The id that the record of an end holds; nothing where none is to be known.
-fn ended_id<F: Files>(store: &mut Store<F>, kind: RecordKind, position: RecordPosition) -> Option<String> {
+/// The id that the record of an ended webhook holds; `None` if it holds none.
+fn read_ended_id<F: Files>(
+    store: &mut Store<F>, kind: RecordKind, position: RecordPosition,
+) -> Option<String> {
     let payload = store.read_payload(position).ok()?;
     let id = match kind {
-        RecordKind::Value => postcard::from_bytes::<(String, End)>(&payload).ok()?.0,
+        RecordKind::Value => postcard::from_bytes::<(String, FinalAnswer)>(&payload).ok()?.0,
         _ => String::from_utf8(payload).ok()?,
     };
     (!id.is_empty()).then_some(id)
--- a/crates/sender/src/journal/records.rs
+++ b/crates/sender/src/journal/records.rs
@@ -1,140 +1,161 @@
-//! What the journal's records hold.
+//! The contents of the journal's records.
 
-use crate::backlog::Resumable;
+use crate::backlog::PendingWebhook;
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// A final answer.
+/// The final answer of a webhook.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub enum End {
-    /// Delivered, withdrawn, or known by the destination to be over: nothing is owed.
+pub enum FinalAnswer {
+    /// Delivered, withdrawn, or known by the destination to be finished: the platform needs no notice.
     Over,
-    /// Handing it in again does no harm, after so many seconds (0: nothing said).
+    /// Given up, and handing it in again does no harm, after this many seconds (0: no time given).
     Rejected(f64),
+    /// Given up, and it may have run.
     DeadLettered,
 }
 
-/// A webhook as it was taken on. Times are seconds on the folder's [timeline](crate::clock::Timeline).
+/// An accepted webhook. Times are seconds on the folder's [timeline](crate::clock::Timeline).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Webhook {
+    /// The id that the client gave it.
     pub id: String,
+    /// The name of its event type.
     pub event_type: String,
-    pub dest: u64,
-    pub order_key: Option<String>,
+    /// The number of its destination.
+    pub destination: u64,
+    /// Its ordering key: event types can ask that webhooks with the same key are delivered one at a time, in
+    /// order.
+    pub ordering_key: Option<String>,
+    /// The customer that it belongs to.
     pub customer: Option<String>,
+    /// Its idempotency key.
     pub token: Option<String>,
-    pub ends_at: f64,
+    /// When its TTL ends.
+    pub expires_at: f64,
+    /// The body to deliver.
     pub body: Vec<u8>,
 }
 
 impl Webhook {
-    /// Bytes of its texts and body, with what tells their lengths.
+    /// An upper limit of its encoded size in bytes.
     pub fn size(&self) -> usize {
-        let text = |t: &Option<String>| t.as_ref().map_or(0, String::len);
-        let texts = self.id.len() + self.event_type.len() + text(&self.token);
+        let length = |text: &Option<String>| text.as_ref().map_or(0, String::len);
+        let texts = self.id.len() + self.event_type.len() + length(&self.token);
         // Lengths and numbers take 32 bytes at most.
-        self.body.len() + texts + text(&self.order_key) + text(&self.customer) + 32
+        self.body.len() + texts + length(&self.ordering_key) + length(&self.customer) + 32
     }
 }
 
-/// Where an attempt went, by zone, and when.
-pub type Trace = (String, f64);
+/// The zone that an attempt went to, and when it started.
+pub type AttemptStart = (String, f64);
 
-/// Tells the attempts of one webhook apart: the first that is recorded is 1.
+/// Identifies an attempt among those of one webhook: the first that is recorded is 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptNumber(u32);
 
 /// What is known of the attempts for a webhook.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Tries {
+pub struct AttemptHistory {
+    /// The number of attempts.
     pub count: u32,
-    pub out: Option<Trace>,
-    /// The first that may have run.
-    pub ran: Option<Trace>,
+    /// The attempt that is in flight.
+    pub in_flight: Option<AttemptStart>,
+    /// The first attempt that ended and may have run at the destination.
+    pub may_have_run: Option<AttemptStart>,
 }
 
-impl Tries {
-    /// An attempt goes out. One attempt is out at a time: an earlier one without an outcome was out when a process
-    /// ended, or its outcome could not be written. It may have run, also when this one turns out not to have.
-    pub fn out(&mut self, trace: Trace) -> AttemptNumber {
+impl AttemptHistory {
+    /// An attempt starts. Only one is in flight at a time: an earlier one without an outcome was in flight
+    /// when a process ended, or its outcome could not be written. It may have run, even if the new attempt
+    /// turns out not to have.
+    pub fn start_attempt(&mut self, start: AttemptStart) -> AttemptNumber {
         self.count += 1;
-        let lost = self.out.replace(trace);
-        self.ran = self.ran.take().or(lost);
+        let without_outcome = self.in_flight.replace(start);
+        self.may_have_run = self.may_have_run.take().or(without_outcome);
         AttemptNumber(self.count)
     }
 
-    /// An attempt came back; `ran` where it may have run. False where it is not the one that is out.
-    pub fn back(&mut self, attempt: AttemptNumber, ran: bool) -> bool {
+    /// An attempt ended; `may_have_run` says whether it may have run. Returns false if it is not the one in
+    /// flight.
+    pub fn end_attempt(&mut self, attempt: AttemptNumber, may_have_run: bool) -> bool {
         if attempt != AttemptNumber(self.count) {
             return false;
         }
-        self.close_out(ran)
+        self.end_in_flight(may_have_run)
     }
 
-    /// Whichever attempt is out came back. False where none was out.
-    pub fn close_out(&mut self, ran: bool) -> bool {
-        let Some(out) = self.out.take() else { return false };
-        if ran && self.ran.is_none() {
-            self.ran = Some(out);
+    /// The attempt in flight, whichever it is, ended. Returns false if there is none.
+    pub fn end_in_flight(&mut self, may_have_run: bool) -> bool {
+        let Some(ended) = self.in_flight.take() else { return false };
+        if may_have_run && self.may_have_run.is_none() {
+            self.may_have_run = Some(ended);
         }
         true
     }
 }
 
 fn hash(text: &str) -> u64 {
-    // Hashes are written to disk: the function and its key must stay.
+    // Hashes are stored: the function and its keys must not change.
     let mut hasher = SipHasher13::new_with_keys(0x5ca1_eba2, 0x0b5e_55ed);
     hasher.write(text.as_bytes());
     hasher.finish()
 }
 
-/// By which a webhook is found by its id.
-pub fn id_hash(id: &str) -> u64 {
+/// The hash by which a webhook is found from its id.
+pub fn hash_id(id: &str) -> u64 {
     hash(id)
 }
 
-/// By which those with one order key are known.
-pub fn key_hash(key: &str) -> u64 {
-    hash(key)
+/// The hash that stands for an ordering key.
+pub fn hash_ordering_key(ordering_key: &str) -> u64 {
+    hash(ordering_key)
 }
 
-/// What a start has to know of a webhook without reading it.
+/// The metadata of an open webhook's record: what a start has to know without reading the webhook itself.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Facts {
-    pub id: u64,
-    pub ends_at: f64,
-    pub key: Option<u64>,
+pub struct WebhookMetadata {
+    /// The hash of its id.
+    pub id_hash: u64,
+    /// When its TTL ends.
+    pub expires_at: f64,
+    /// The hash of its ordering key.
+    pub key_hash: Option<u64>,
 }
 
-/// Bytes that facts take up on disk at most.
-pub const FACTS: usize = 24;
+/// The largest size of encoded metadata in bytes.
+pub const MAX_METADATA_BYTES: usize = 24;
 
-impl Facts {
+impl WebhookMetadata {
+    /// The metadata of a webhook.
     pub fn of(webhook: &Webhook) -> Self {
-        let key = webhook.order_key.as_deref().map(key_hash);
-        Facts { id: id_hash(&webhook.id), ends_at: webhook.ends_at, key }
+        let key_hash = webhook.ordering_key.as_deref().map(hash_ordering_key);
+        WebhookMetadata { id_hash: hash_id(&webhook.id), expires_at: webhook.expires_at, key_hash }
     }
 
+    /// The bytes that a record stores.
     pub fn encode(&self) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(FACTS);
-        bytes.extend_from_slice(&self.id.to_le_bytes());
-        bytes.extend_from_slice(&self.ends_at.to_le_bytes());
-        bytes.extend(self.key.iter().flat_map(|key| key.to_le_bytes()));
+        let mut bytes = Vec::with_capacity(MAX_METADATA_BYTES);
+        bytes.extend_from_slice(&self.id_hash.to_le_bytes());
+        bytes.extend_from_slice(&self.expires_at.to_le_bytes());
+        bytes.extend(self.key_hash.iter().flat_map(|key_hash| key_hash.to_le_bytes()));
         bytes
     }
 
-    /// Bytes that are missing count as zeros.
+    /// Decodes stored bytes. A missing id hash or time is read as 0.
     pub fn decode(bytes: &[u8]) -> Self {
-        let part = |at: usize| bytes.get(at..at + 8).and_then(|part| part.first_chunk::<8>()).copied();
-        Facts {
-            id: u64::from_le_bytes(part(0).unwrap_or_default()),
-            ends_at: f64::from_le_bytes(part(8).unwrap_or_default()),
-            key: part(16).map(u64::from_le_bytes),
+        let field =
+            |offset: usize| bytes.get(offset..offset + 8).and_then(|field| field.first_chunk::<8>()).copied();
+        WebhookMetadata {
+            id_hash: u64::from_le_bytes(field(0).unwrap_or_default()),
+            expires_at: f64::from_le_bytes(field(8).unwrap_or_default()),
+            key_hash: field(16).map(u64::from_le_bytes),
         }
     }
 
-    pub fn resumable(&self, number: u64) -> Resumable {
-        Resumable { number, ends_at: self.ends_at, key: self.key }
+    /// The webhook as the backlog takes it.
+    pub fn pending(&self, number: u64) -> PendingWebhook {
+        PendingWebhook { number, expires_at: self.expires_at, key_hash: self.key_hash }
     }
 }
--- a/crates/sender/src/notices.rs
+++ b/crates/sender/src/notices.rs
@@ -1,21 +1,23 @@
-//! Notices to the platform: final answers of webhooks that were taken on and not delivered.
+//! Notices to the platform: they report the final answers of webhooks that were accepted and not delivered.
 
 use crate::http::{DecodeError, Decoder, StatusHead};
-use crate::journal::End;
+use crate::journal::FinalAnswer;
 use serde::Serialize;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Lines in one notice: well under the protocol's limit for a body.
-const MOST_LINES: usize = 100;
-const MOST_ANSWER: usize = 4096;
-/// The platform answers at once, and a final answer may come 0.3 s late: one that is sent when the time is up, behind
-/// a notice that gets lost on its way, and on a connection that has to be opened anew, still comes in time.
+/// The most lines in one notice: well below the protocol's limit for a body.
+const MAX_LINES: usize = 100;
+const MAX_RESPONSE_BODY_BYTES: usize = 4096;
+/// How long a notice waits for its acknowledgement. The platform answers at once, and a final answer may
+/// arrive 0.3 s late: one that is sent at the end of the TTL still arrives in time if the notice before it
+/// got lost and a new connection has to be opened.
 pub const ACK_TIMEOUT_SECS: f64 = 0.15;
-/// Between two tries of a notice that was not taken.
+/// Delay before a notice is sent again that was not acknowledged.
 pub const RETRY_DELAY_SECS: f64 = 0.05;
 const _: () = assert!(ACK_TIMEOUT_SECS + RETRY_DELAY_SECS < 0.25);
 
+/// A line of a notice, as JSON.
 #[derive(Serialize)]
 struct Line<'a> {
     id: &'a str,
@@ -24,94 +26,103 @@
     after_ms: Option<u64>,
 }
 
-/// What is due, in order, and what is out. A notice is repeated until it is acknowledged.
+/// The final answers to report, in order, and those in flight. A notice is repeated until it is acknowledged.
 pub struct Notices {
     decoder: Decoder<StatusHead>,
-    due: VecDeque<u64>,
-    out: Vec<u64>,
-    /// A line that the platform cannot read must not hold up others: then they go one by one.
-    singly: bool,
+    /// The numbers of the webhooks to report.
+    queued: VecDeque<u64>,
+    /// The numbers of the webhooks in the notice that was sent last and is not acknowledged.
+    in_flight: Vec<u64>,
+    /// After a refused notice, lines are sent one by one, so that one which the platform cannot read does not
+    /// block others.
+    one_by_one: bool,
 }
 
 impl Default for Notices {
     fn default() -> Self {
-        let decoder = Decoder::for_responses(MOST_ANSWER);
-        Notices { decoder, due: VecDeque::new(), out: Vec::new(), singly: false }
+        let decoder = Decoder::for_responses(MAX_RESPONSE_BODY_BYTES);
+        Notices { decoder, queued: VecDeque::new(), in_flight: Vec::new(), one_by_one: false }
     }
 }
 
 impl Notices {
-    /// Nothing is due and nothing is out.
+    /// Starts with nothing to report.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// How many are due or out.
+    /// The number of final answers that are queued or in flight.
     pub fn len(&self) -> usize {
-        self.out.len() + self.due.len()
+        self.in_flight.len() + self.queued.len()
     }
 
-    /// A webhook's final answer is due.
+    /// Queues the final answer of a webhook.
     pub fn push(&mut self, number: u64) {
-        self.due.push_back(number);
+        self.queued.push_back(number);
     }
 
-    /// Something is due and nothing is out.
+    /// Whether a notice is to be sent: answers are queued and none is in flight.
     pub fn can_send(&self) -> bool {
-        self.out.is_empty() && !self.due.is_empty()
+        self.in_flight.is_empty() && !self.queued.is_empty()
     }
 
-    /// Nothing is due and nothing is out.
+    /// Whether nothing is queued or in flight.
     pub fn is_empty(&self) -> bool {
-        self.out.is_empty() && self.due.is_empty()
+        self.in_flight.is_empty() && self.queued.is_empty()
     }
 
-    /// The next call. `end` tells the id and the final answer of a webhook.
+    /// The next notice as a request. `final_answer` returns a webhook's id and final answer.
     pub fn next_request(
-        &mut self, host: &SocketAddr, mut end: impl FnMut(u64) -> Option<(String, End)>,
+        &mut self, host: &SocketAddr, mut final_answer: impl FnMut(u64) -> Option<(String, FinalAnswer)>,
     ) -> Vec<u8> {
-        let most = if self.singly { 1 } else { MOST_LINES };
+        let max_lines = if self.one_by_one { 1 } else { MAX_LINES };
         let mut body = Vec::new();
-        while self.out.len() < most
-            && let Some(number) = self.due.pop_front()
+        while self.in_flight.len() < max_lines
+            && let Some(number) = self.queued.pop_front()
         {
-            let Some((id, end)) = end(number) else { continue };
-            let (state, after_ms) = match end {
-                End::Rejected(after) => ("returned", Some((after * 1e3) as u64).filter(|ms| *ms > 0)),
+            let Some((id, answer)) = final_answer(number) else { continue };
+            let (state, after_ms) = match answer {
+                FinalAnswer::Rejected(retry_after) => {
+                    ("returned", Some((retry_after * 1e3) as u64).filter(|ms| *ms > 0))
+                }
                 _ => ("failed", None),
             };
             // Writing to memory does not fail.
             let _ = serde_json::to_writer(&mut body, &Line { id: &id, state, after_ms });
             body.push(b'\n');
-            self.out.push(number);
+            self.in_flight.push(number);
         }
-        let size = body.len();
-        let mut call =
-            format!("POST /v1/outcomes HTTP/1.1\r\nHost: {host}\r\nContent-Length: {size}\r\n\r\n")
+        let length = body.len();
+        let mut request =
+            format!("POST /v1/outcomes HTTP/1.1\r\nHost: {host}\r\nContent-Length: {length}\r\n\r\n")
                 .into_bytes();
-        call.extend(body);
-        call
+        request.extend(body);
+        request
     }
 
-    /// The webhooks whose notice is out.
-    pub fn out(&self) -> &[u64] {
-        &self.out
+    /// The numbers of the webhooks whose notice is in flight.
+    pub fn in_flight(&self) -> &[u64] {
+        &self.in_flight
     }
 
-    /// The webhooks whose notice was acknowledged, and whether the connection serves further calls.
+    /// Reads a part of the response. Once the notice is acknowledged, returns the numbers of its webhooks and
+    /// whether the connection can be used again.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<(Vec<u64>, bool)>, DecodeError> {
         self.decoder.feed(bytes);
-        let Some(answer) = self.decoder.next_message()? else { return Ok(None) };
-        self.singly = answer.head.0 != 204;
-        if self.singly {
+        let Some(response) = self.decoder.next_message()? else { return Ok(None) };
+        self.one_by_one = response.head.0 != 204;
+        if self.one_by_one {
             return Err(DecodeError::Malformed);
         }
-        Ok(Some((std::mem::take(&mut self.out), answer.keep_alive && self.decoder.is_between_messages())))
+        Ok(Some((
+            std::mem::take(&mut self.in_flight),
+            response.keep_alive && self.decoder.is_between_messages(),
+        )))
     }
 
-    /// The connection is gone: what was out is due again, behind the rest.
+    /// The connection was lost: what was in flight is queued again, behind the rest.
     pub fn connection_lost(&mut self) {
-        self.decoder = Decoder::for_responses(MOST_ANSWER);
-        self.due.extend(self.out.drain(..));
+        self.decoder = Decoder::for_responses(MAX_RESPONSE_BODY_BYTES);
+        self.queued.extend(self.in_flight.drain(..));
     }
 }
--- a/crates/sender/src/withheld.rs
+++ b/crates/sender/src/withheld.rs
@@ -1,49 +1,50 @@
-//! Final answers that wait for their record: as long as the folder fails, a process after a kill would not know of them and
-//! make another attempt.
+//! Final answers that are not yet reported because their journal record could not be written. Without the
+//! record, the next process after a kill would not know of the answer and would make another attempt.
 
-/// Between two tries to write what could not be written, in seconds.
-pub const RETRY_PAUSE: f64 = 0.1;
+/// Delay between two tries to write the missing records.
+pub const RETRY_DELAY_SECS: f64 = 0.1;
 
-/// A webhook whose final answer is not told yet.
+/// A webhook whose final answer is not yet reported.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Entry {
     number: u64,
-    /// When no process can make another attempt for it any more.
-    ends_at: f64,
+    /// From this time on no process makes another attempt for it.
+    expires_at: f64,
 }
 
-/// The final answers that wait.
+/// The final answers that wait for their records.
 #[derive(Debug, Default)]
-pub struct Withheld {
+pub struct WithheldAnswers {
     entries: Vec<Entry>,
     retry_at: f64,
 }
 
-impl Withheld {
-    /// Nothing waits.
+impl WithheldAnswers {
+    /// Whether no final answer is withheld.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// A final answer waits; its webhook's time ends at `ends_at`.
-    pub fn add(&mut self, now: f64, number: u64, ends_at: f64) {
-        self.entries.push(Entry { number, ends_at });
-        self.retry_at = now + RETRY_PAUSE;
+    /// Withholds the final answer of a webhook whose TTL ends at `expires_at`.
+    pub fn add(&mut self, now: f64, number: u64, expires_at: f64) {
+        self.entries.push(Entry { number, expires_at });
+        self.retry_at = now + RETRY_DELAY_SECS;
     }
 
-    /// Whether it is time to try to write the records again. The next time is a pause later.
+    /// Whether the records are to be written again now. If so, the next retry is due after the retry delay.
     pub fn retry_due(&mut self, now: f64) -> bool {
         let due = !self.is_empty() && now >= self.retry_at;
         if due {
-            self.retry_at = now + RETRY_PAUSE;
+            self.retry_at = now + RETRY_DELAY_SECS;
         }
         due
     }
 
-    /// Takes out those that may be told: all where the records are written, else those whose time is over.
-    pub fn take(&mut self, now: f64, written: bool) -> Vec<u64> {
-        let told = self.entries.extract_if(.., |entry| written || entry.ends_at <= now);
-        told.map(|entry| entry.number).collect()
+    /// Removes and returns the webhooks whose answers may be reported: all once the records are written, else
+    /// those whose TTL has ended.
+    pub fn take_reportable(&mut self, now: f64, records_written: bool) -> Vec<u64> {
+        let reportable = self.entries.extract_if(.., |entry| records_written || entry.expires_at <= now);
+        reportable.map(|entry| entry.number).collect()
     }
 }
 
@@ -52,15 +53,15 @@
     use super::*;
 
     #[test]
-    fn what_waits_is_told_once_it_is_written_or_its_time_is_over() {
-        let mut withheld = Withheld::default();
+    fn answers_are_reportable_once_recorded_or_expired() {
+        let mut withheld = WithheldAnswers::default();
         withheld.add(10.0, 1, 10.5);
         withheld.add(10.0, 2, 12.0);
         assert!(!withheld.retry_due(10.05));
         assert!(withheld.retry_due(10.15) && !withheld.retry_due(10.2));
-        assert!(withheld.take(10.4, false).is_empty());
-        assert_eq!(withheld.take(10.5, false), [1]);
-        assert_eq!(withheld.take(10.6, true), [2]);
+        assert!(withheld.take_reportable(10.4, false).is_empty());
+        assert_eq!(withheld.take_reportable(10.5, false), [1]);
+        assert_eq!(withheld.take_reportable(10.6, true), [2]);
         assert!(withheld.is_empty() && !withheld.retry_due(20.0));
     }
 }
--- a/crates/sender/tests/bridge.rs
+++ b/crates/sender/tests/bridge.rs
@@ -1,4 +1,5 @@
-//! The bridge without sockets: what a start found goes back to the module bit by bit.
+//! Tests of the bridge without sockets: how webhooks that the journal held at start go back to the decision
+//! module.
 
 use scalebarrow_sender::bridge::Bridge;
 use scalebarrow_sender::clients::{IncomingWebhook, Reply};
@@ -7,9 +8,10 @@
 use scalebarrow_sender::journal::Journal;
 use std::path::{Path, PathBuf};
 
-const LIMIT: usize = 3_000_000;
+/// The disk limit of the journal.
+const MAX_BYTES: usize = 3_000_000;
 
-/// One destination; event type `e`, in order by key, with 60 s; 400 webhooks held at most.
+/// One destination; event type `e`, ordered by key, with a TTL of 60 s; at most 400 open webhooks.
 const CONFIG: &str = r#"{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":256,"disk_mb":3},
 "known":{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:3","site":"z","class":"plain","block":1,"health":"SERVING","share":50.0,"born_ms":0}]},
@@ -18,7 +20,7 @@
 "family-info":{"bundle-max":[1],"decay":"by_half","slots":40},"instances":1,"me":0,"membership-mode":"push",
 "models":["plain"],"rules":{},"weights":"none"}}"#;
 
-fn folder(name: &str) -> PathBuf {
+fn create_folder(name: &str) -> PathBuf {
     let path =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("bridge-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
@@ -27,46 +29,52 @@
 }
 
 fn open(folder: &Path, now: f64) -> Bridge {
-    let journal = Journal::open(folder, LIMIT, &BootReading::now()).unwrap().0;
+    let journal = Journal::open(folder, MAX_BYTES, &BootReading::now()).unwrap().0;
     Bridge::open(Config::decode(CONFIG.as_bytes()).unwrap(), journal, now)
 }
 
 fn hand_in(bridge: &mut Bridge, now: f64, id: &str, key: &str, remaining_secs: f64) -> Reply {
     let (id, event_type, order_key) = (id.to_owned(), "e".to_owned(), Some(key.to_owned()));
-    let from =
+    let incoming =
         IncomingWebhook { id, event_type, dest: 1, order_key, customer: None, token: None, remaining_secs };
-    bridge.hand_in(now, from, b"body".to_vec()).0
+    bridge.hand_in(now, incoming, b"body".to_vec()).0
 }
 
-/// The ids of the calls that the module asks for.
-fn calls(bridge: &mut Bridge, now: f64) -> Vec<String> {
+/// The webhook ids of the calls that the decision module has requested.
+fn called_ids(bridge: &mut Bridge, now: f64) -> Vec<String> {
     bridge.take_calls(now).0.into_iter().map(|call| call.webhooks[0].id.clone()).collect()
 }
 
-/// What waits in the folder: 350, of keys that come round, the last with little time.
+/// Leaves 350 open webhooks in the journal, with 50 keys in turn. The last webhook has a short TTL.
 fn fill(folder: &Path) {
     let mut bridge = open(folder, 100.0);
     for number in 0..350 {
-        let left = if number == 349 { 5.0 } else { 50.0 };
+        let remaining_secs = if number == 349 { 5.0 } else { 50.0 };
         let key = format!("key-{}", number % 50);
-        assert_eq!(hand_in(&mut bridge, 100.0, &format!("old-{number}"), &key, left), Reply::Accepted);
+        assert_eq!(
+            hand_in(&mut bridge, 100.0, &format!("old-{number}"), &key, remaining_secs),
+            Reply::Accepted
+        );
     }
 }
 
 #[test]
-fn it_is_taken_in_by_steps_the_oldest_first() {
-    let folder = folder("steps");
+fn the_backlog_is_resumed_in_bounded_steps_oldest_first() {
+    let folder = create_folder("steps");
     fill(&folder);
     let mut bridge = open(&folder, 101.0);
     assert!(bridge.has_work() && !bridge.is_idle());
-    assert!(calls(&mut bridge, 101.0).is_empty());
+    assert!(called_ids(&mut bridge, 101.0).is_empty());
     bridge.run_maintenance(101.0);
-    let first = calls(&mut bridge, 101.0);
-    assert!(!first.is_empty() && first.iter().all(|id| id[4..].parse::<u32>().unwrap() < 100), "{first:?}");
+    let first_ids = called_ids(&mut bridge, 101.0);
+    assert!(
+        !first_ids.is_empty() && first_ids.iter().all(|id| id[4..].parse::<u32>().unwrap() < 100),
+        "{first_ids:?}"
+    );
     let mut steps = 1;
     while bridge.has_work() {
         bridge.run_maintenance(101.0);
-        calls(&mut bridge, 101.0);
+        called_ids(&mut bridge, 101.0);
         bridge.take_actions();
         steps += 1;
     }
@@ -74,21 +82,21 @@
 }
 
 #[test]
-fn an_id_that_comes_again_meanwhile_is_known() {
-    let folder = folder("known");
+fn an_id_in_the_backlog_is_not_accepted_again() {
+    let folder = create_folder("known");
     fill(&folder);
     let mut bridge = open(&folder, 101.0);
     for id in ["old-0", "old-348"] {
         assert_eq!(hand_in(&mut bridge, 101.0, id, "key-0", 50.0), Reply::Accepted);
     }
     drop(bridge);
-    let journal = Journal::open(&folder, LIMIT, &BootReading::now()).unwrap().0;
+    let journal = Journal::open(&folder, MAX_BYTES, &BootReading::now()).unwrap().0;
     assert_eq!(journal.open_count(), 350);
 }
 
 #[test]
-fn one_whose_time_is_over_meanwhile_gets_its_final_answer_at_once() {
-    let folder = folder("over");
+fn an_expired_webhook_in_the_backlog_gets_its_final_answer_first() {
+    let folder = create_folder("over");
     fill(&folder);
     let mut bridge = open(&folder, 106.0);
     assert!(!bridge.notices.can_send());
@@ -99,15 +107,15 @@
 }
 
 #[test]
-fn one_that_comes_meanwhile_goes_behind_those_with_its_key() {
-    let folder = folder("order");
+fn a_new_webhook_is_sent_after_those_in_the_backlog_with_its_key() {
+    let folder = create_folder("order");
     fill(&folder);
     let mut bridge = open(&folder, 101.0);
-    // The last with key 47 waits at the very end; nothing with the other key does.
+    // The last webhook with key 47 is at the end of the backlog; none has the other key.
     assert_eq!(hand_in(&mut bridge, 101.0, "new-47", "key-47", 50.0), Reply::Accepted);
     assert_eq!(hand_in(&mut bridge, 101.0, "new-other", "other", 50.0), Reply::Accepted);
-    assert_eq!(calls(&mut bridge, 101.0), ["new-other"]);
-    let mut sent = Vec::new();
+    assert_eq!(called_ids(&mut bridge, 101.0), ["new-other"]);
+    let mut sent_ids = Vec::new();
     for turn in 0..3000 {
         let now = 101.0 + f64::from(turn) * 0.01;
         bridge.run_maintenance(now);
@@ -115,7 +123,7 @@
         bridge.wake(now);
         let (calls, _) = bridge.take_calls(now);
         for call in calls {
-            sent.push(call.webhooks[0].id.clone());
+            sent_ids.push(call.webhooks[0].id.clone());
             let delivered = scalebarrow_sender::endpoints::AttemptResult {
                 outcome: scalebarrow::Outcome::Delivered,
                 is_final: true,
@@ -123,17 +131,18 @@
             bridge.call_ended(now, &call, &[delivered], &Default::default());
         }
     }
-    let of_key = |id: &&String| id.ends_with("-47") || id[4..].parse::<u32>().is_ok_and(|n| n % 50 == 47);
-    let in_order: Vec<&String> = sent.iter().filter(of_key).collect();
+    let has_key_47 =
+        |id: &&String| id.ends_with("-47") || id[4..].parse::<u32>().is_ok_and(|number| number % 50 == 47);
+    let ids_with_key_47: Vec<&String> = sent_ids.iter().filter(has_key_47).collect();
     assert_eq!(
-        in_order,
+        ids_with_key_47,
         ["old-47", "old-97", "old-147", "old-197", "old-247", "old-297", "old-347", "new-47"]
     );
 }
 
 #[test]
-fn while_it_lasts_no_more_are_taken_on_than_may_be_held() {
-    let folder = folder("holds");
+fn the_limit_of_open_webhooks_includes_the_backlog() {
+    let folder = create_folder("holds");
     fill(&folder);
     let mut bridge = open(&folder, 101.0);
     for number in 0..50 {
@@ -143,12 +152,12 @@
 }
 
 #[test]
-fn a_client_that_goes_away_takes_back_one_that_waits() {
-    let folder = folder("withdrawn");
+fn a_webhook_in_the_backlog_is_withdrawn_if_its_client_disconnects() {
+    let folder = create_folder("withdrawn");
     fill(&folder);
     let mut bridge = open(&folder, 101.0);
     let (id, event_type, order_key) = ("gone".to_owned(), "e".to_owned(), Some("key-0".to_owned()));
-    let from = IncomingWebhook {
+    let incoming = IncomingWebhook {
         id,
         event_type,
         dest: 1,
@@ -157,9 +166,9 @@
         token: None,
         remaining_secs: 50.0,
     };
-    let (reply, number) = bridge.hand_in(101.0, from, Vec::new());
+    let (reply, number) = bridge.hand_in(101.0, incoming, Vec::new());
     assert_eq!(reply, Reply::Accepted);
     bridge.withdraw(101.0, number.unwrap());
     drop(bridge);
-    assert_eq!(Journal::open(&folder, LIMIT, &BootReading::now()).unwrap().0.open_count(), 350);
+    assert_eq!(Journal::open(&folder, MAX_BYTES, &BootReading::now()).unwrap().0.open_count(), 350);
 }
