--- a/crates/sender/src/bridge.rs
+++ b/crates/sender/src/bridge.rs
@@ -404,15 +404,7 @@
             return (Reply::Accepted, None);
         }
         let (expires_at, ttl_left) = (now + incoming.remaining_secs, incoming.remaining_secs);
-        let IncomingWebhook {
-            id,
-            event_type,
-            dest: destination,
-            order_key: ordering_key,
-            customer,
-            token,
-            ..
-        } = incoming;
+        let IncomingWebhook { id, event_type, destination, ordering_key, customer, token, .. } = incoming;
         let webhook =
             Webhook { id, event_type, destination, ordering_key, customer, token, expires_at, body };
         // The decision module cannot judge whether there are too many webhooks while it does not know all of
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -20,9 +20,9 @@
     /// The name of its event type.
     pub event_type: String,
     /// The number of its destination.
-    pub dest: u64,
+    pub destination: u64,
     /// The ordering key: webhooks that share one are delivered one at a time if the event type requires it.
-    pub order_key: Option<String>,
+    pub ordering_key: Option<String>,
     /// The customer whose quota the webhook counts towards.
     pub customer: Option<String>,
     /// The idempotency key.
@@ -80,12 +80,13 @@
         None => Some(None),
     };
     let mut parameters = headers.get("X-Addressing")?.split([';', ',', ' ']);
-    let dest = parameters.find_map(|parameter| parameter.trim().strip_prefix("dest="))?.parse().ok()?;
+    let destination =
+        parameters.find_map(|parameter| parameter.trim().strip_prefix("dest="))?.parse().ok()?;
     Some(IncomingWebhook {
         id: id("Req-Id")??,
         event_type: event_type.to_owned(),
-        dest,
-        order_key: id("Req-Key")?,
+        destination,
+        ordering_key: id("Req-Key")?,
         customer: headers.get("Req-Owner").map(str::to_owned),
         token: id("Idempotency-Key")?,
         remaining_secs: decode_duration(headers.get("Req-Deadline")?)?,
--- a/crates/sender/src/driver/clients.rs
+++ b/crates/sender/src/driver/clients.rs
@@ -137,7 +137,7 @@
                         Ok(_) if !self.accepts_webhooks || peer_has_closed(&connection.stream) => {
                             (Reply::Unavailable, None)
                         }
-                        Ok(hand_in) => self.bridge.hand_in(self.now, hand_in, request.body),
+                        Ok(incoming) => self.bridge.hand_in(self.now, incoming, request.body),
                         Err(reply) => (reply, None),
                     };
                     let is_last = !request.keep_alive || self.shutdown_at.is_some();
--- a/crates/sender/src/driver/event_loop.rs
+++ b/crates/sender/src/driver/event_loop.rs
@@ -70,15 +70,15 @@
                         self.close(id, CloseReason::Idle);
                     }
                 }
-                Action::CancelAttempt(webhook) => {
+                Action::CancelAttempt(webhook_number) => {
                     // A response that was already received counts.
-                    let id = self.call_connections.get(&webhook).copied();
+                    let id = self.call_connections.get(&webhook_number).copied();
                     if let Some(id) =
                         id.filter(|id| self.connections.get(id).is_some_and(|connection| connection.is_up))
                     {
                         self.endpoint_ready(id);
                     }
-                    if let Some(id) = self.call_connections.get(&webhook).copied() {
+                    if let Some(id) = self.call_connections.get(&webhook_number).copied() {
                         self.abort_call(id, Outcome::Cancelled, CloseReason::CallCancelled);
                     }
                 }
--- a/crates/sender/tests/bridge.rs
+++ b/crates/sender/tests/bridge.rs
@@ -34,9 +34,16 @@
 }
 
 fn hand_in(bridge: &mut Bridge, now: f64, id: &str, key: &str, remaining_secs: f64) -> Reply {
-    let (id, event_type, order_key) = (id.to_owned(), "e".to_owned(), Some(key.to_owned()));
-    let incoming =
-        IncomingWebhook { id, event_type, dest: 1, order_key, customer: None, token: None, remaining_secs };
+    let (id, event_type, ordering_key) = (id.to_owned(), "e".to_owned(), Some(key.to_owned()));
+    let incoming = IncomingWebhook {
+        id,
+        event_type,
+        destination: 1,
+        ordering_key,
+        customer: None,
+        token: None,
+        remaining_secs,
+    };
     bridge.hand_in(now, incoming, b"body".to_vec()).0
 }
 
@@ -156,12 +163,12 @@
     let folder = create_folder("withdrawn");
     fill(&folder);
     let mut bridge = open(&folder, 101.0);
-    let (id, event_type, order_key) = ("gone".to_owned(), "e".to_owned(), Some("key-0".to_owned()));
+    let (id, event_type, ordering_key) = ("gone".to_owned(), "e".to_owned(), Some("key-0".to_owned()));
     let incoming = IncomingWebhook {
         id,
         event_type,
-        dest: 1,
-        order_key,
+        destination: 1,
+        ordering_key,
         customer: None,
         token: None,
         remaining_secs: 50.0,
