--- a/crates/sender/src/bridge.rs
+++ b/crates/sender/src/bridge.rs
@@ -51,6 +51,7 @@
 struct Requested {
     /// Attempts to start: webhook number, endpoint, and when to give up.
     attempts: Vec<(u64, String, f64)>,
+    /// Final answers by webhook number.
     final_answers: Vec<(u64, FinalAnswer)>,
     actions: Vec<Action>,
 }
@@ -94,13 +95,13 @@
     JournalFailed,
 }
 
-/// What the list says of an endpoint.
+/// What the list says about an endpoint.
 struct EndpointInfo {
     address: SocketAddr,
     zone: String,
     /// The most webhooks in one call.
     max_batch: usize,
-    /// Its last start by the wall clock of the list.
+    /// Its last start by the wall clock of the list; 0 if unknown.
     started_unix_ms: f64,
 }
 
@@ -153,9 +154,10 @@
     pub counters: Counters,
     /// By name, the endpoints that may be called.
     endpoints: BTreeMap<String, EndpointInfo>,
-    /// Webhooks that the decision module does not know yet: those found at start, and new ones behind them.
+    /// Webhooks that the decision module does not know yet: those found at start, and new ones that have to
+    /// follow one of them.
     backlog: Backlog,
-    /// Until then the backlog rests after a read error.
+    /// Until when the backlog is paused after a read error.
     backlog_paused_until: Option<f64>,
     /// When the list was last updated.
     list_updated_at: f64,
@@ -171,7 +173,7 @@
 
 impl Bridge {
     /// Restores the state from the journal. Unacknowledged final answers are due for a notice again; open
-    /// webhooks go back to the decision module bit by bit, by [`Bridge::run_maintenance`].
+    /// webhooks go back to the decision module in bounded steps, by [`Bridge::run_maintenance`].
     pub fn open(config: Config, mut journal: Journal, now: f64) -> Self {
         let pending = journal.take_pending();
         log_journal_contents(&journal, &pending, now);
@@ -322,7 +324,9 @@
         self.endpoints.get(endpoint).map(|info| info.address)
     }
 
-    /// Finishes the webhooks for which the decision module has just requested a final answer.
+    /// Finishes the webhooks for which the decision module has just requested a final answer. One that was
+    /// rejected when it was handed in is not in the journal and is skipped: its answer is the reply to the
+    /// client.
     fn apply_final_answers(&mut self, now: f64) {
         for (number, answer) in std::mem::take(&mut self.requested.final_answers) {
             self.finish_webhook(now, number, answer);
@@ -396,8 +400,8 @@
 
     /// A client hands in a webhook. Returns the reply, and the webhook's number if it was accepted just now.
     pub fn hand_in(&mut self, now: f64, incoming: IncomingWebhook, body: Vec<u8>) -> (Reply, Option<u64>) {
-        // Handed in again after its connection was closed, or by another client. What was accepted first
-        // stays as it is, whether it is open or ended just now.
+        // The webhook is handed in again because the client's connection was closed, or by another client.
+        // What was accepted first stays as it is, whether it is still open or has just ended.
         if self.recently_ended.contains(&incoming.id) || self.journal.find_open(&incoming.id).is_some() {
             self.counters.count(WebhookEvent::Duplicate);
             debug!(code = "known", id = incoming.id, "a webhook with this id was accepted before");
@@ -595,7 +599,7 @@
         }
     }
 
-    /// The platform refused to send the list.
+    /// The list could not be fetched.
     pub fn list_unavailable(&mut self, now: f64) {
         self.sender.update_list(now, ListUpdate::Refused, &[], &mut self.requested);
         self.apply_final_answers(now);
--- a/crates/sender/src/endpoints.rs
+++ b/crates/sender/src/endpoints.rs
@@ -19,11 +19,11 @@
     pub body: &'a [u8],
 }
 
-/// Encodes the request for one webhook or for several; `None` if several do not fit in one body. `timeout` is
-/// the time in seconds that the endpoint has to answer.
-pub fn encode_request(webhooks: &[OutgoingWebhook], host: &str, timeout: f64) -> Option<Vec<u8>> {
-    let timeout = (timeout * 1e3).max(0.0) as u64;
-    let common = format!("HTTP/1.1\r\nHost: {host}\r\nReq-Deadline: {timeout}m\r\n");
+/// Encodes the request for one webhook or for several; `None` if several do not fit in one body. The
+/// endpoint has `timeout_secs` to answer.
+pub fn encode_request(webhooks: &[OutgoingWebhook], host: &str, timeout_secs: f64) -> Option<Vec<u8>> {
+    let timeout_ms = (timeout_secs * 1e3).max(0.0) as u64;
+    let common = format!("HTTP/1.1\r\nHost: {host}\r\nReq-Deadline: {timeout_ms}m\r\n");
     if let [webhook] = webhooks {
         let token = webhook.token.map_or(String::new(), |token| format!("Idempotency-Key: {token}\r\n"));
         let length = webhook.body.len();
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -385,7 +385,7 @@
         }
     }
 
-    /// Ends the number's life in the store. The payload is the id that is to be known after a restart, if
+    /// Removes the webhook from the store. The payload is the id that is to be known after a restart, if
     /// any.
     fn write_tombstone(&mut self, number: u64, payload: &[u8]) -> io::Result<()> {
         let record = Record { kind: RecordKind::Tombstone, tag: 0, key: number, metadata: &[], payload };
--- a/crates/sender/src/journal/tests.rs
+++ b/crates/sender/src/journal/tests.rs
@@ -303,12 +303,12 @@
         }
         peak_bytes = peak_bytes.max(files.total_bytes());
         // Every open webhook is attempted again and again, and a few end.
-        let open = open_numbers(&journal);
-        for open in open.iter().copied() {
-            record_attempt(&mut journal, open, "zone", 1.0, open % 2 == 0);
+        let numbers = open_numbers(&journal);
+        for open_number in numbers.iter().copied() {
+            record_attempt(&mut journal, open_number, "zone", 1.0, open_number % 2 == 0);
             peak_bytes = peak_bytes.max(files.total_bytes());
         }
-        for oldest in open.first().iter().filter(|_| number % 3 == 0) {
+        for oldest in numbers.first().iter().filter(|_| number % 3 == 0) {
             journal.record_final_answer(**oldest, FinalAnswer::DeadLettered).unwrap();
             journal.record_acknowledgement(**oldest).unwrap();
         }
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -1,7 +1,8 @@
-//! The parts of the `scalebarrow` program. What decides is free of input and output and can be driven without sockets:
-//! the [`bridge`] to the decision module, the state machines of the peers ([`list`], [`notices`], [`endpoints`],
-//! [`clients`]) and the framing of messages ([`http`]). The [`journal`] keeps what outlives the process, [`config`]
-//! reads what the platform hands over, and the [`driver`] joins all of it with sockets, timers and signals.
+//! The parts of the `scalebarrow` program, a sender of webhooks. All decisions and protocols are free of
+//! input and output and can be tested without sockets: the [`bridge`] to the decision module, the state
+//! machines of the program's peers ([`list`], [`notices`], [`endpoints`], [`clients`]) and the decoding of
+//! HTTP messages ([`http`]). The [`journal`] stores what has to survive a restart, [`config`] reads the
+//! configuration, and the [`driver`] connects everything to sockets, timers and signals.
 
 pub mod backlog;
 pub mod bridge;
