--- a/crates/sender/src/endpoints.rs
+++ b/crates/sender/src/endpoints.rs
@@ -47,8 +47,8 @@
 pub struct ResponseHead {
     /// The status code.
     pub status: u16,
-    /// Seconds to wait before the destination, or this endpoint, is called again; 0 if the response asks for
-    /// no delay.
+    /// Seconds to wait before the destination, or the route to it, is called again; 0 if the response asks
+    /// for no delay.
     pub retry_after: f64,
     /// Whether the endpoint refused because no slot was free.
     no_free_slot: bool,
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -31,7 +31,7 @@
 const UNACKNOWLEDGED: u8 = 1;
 /// Disk space reserved for the records that follow that of a webhook, from its acceptance on.
 const RESERVED_BYTES_PER_WEBHOOK: u64 = 256;
-/// The number of most recently ended webhooks whose ids are known after a restart.
+/// The number of most recently ended webhooks whose ids are still known after a restart.
 const MAX_ENDED_IDS: usize = 1024;
 /// The limit of the cache of webhooks.
 const CACHE_BYTES: usize = 1024 * 1024;
--- a/crates/sender/src/journal/attempts.rs
+++ b/crates/sender/src/journal/attempts.rs
@@ -51,8 +51,8 @@
         starts.map(|start| start.started_at).fold(f64::NEG_INFINITY, f64::max)
     }
 
-    /// The webhooks whose attempts are only counted: none is known to be in flight, and none is known as
-    /// possibly run.
+    /// The webhooks for which only the number of attempts is known, but no attempt that is in flight or may have
+    /// run.
     pub fn only_counted(&self) -> Vec<u64> {
         let only_counted = |history: &CompactHistory| {
             history.count > 0 && history.in_flight.is_none() && history.may_have_run.is_none()
