--- a/crates/fault-control/src/lib.rs
+++ b/crates/fault-control/src/lib.rs
@@ -7,18 +7,18 @@
 use std::path::{Path, PathBuf};
 
 /// The environment variable that names the file.
-pub const CONTROL_VARIABLE: &str = "FAULT_SHIM_CONTROL";
+pub const CONTROL_FILE_VARIABLE: &str = "FAULT_SHIM_CONTROL";
 /// The environment variable that names the folder whose writes can be made to fail.
-pub const FOLDER_VARIABLE: &str = "LB_STATE";
+pub const STATE_FOLDER_VARIABLE: &str = "LB_STATE";
 /// Bytes of the file.
-pub const SIZE: usize = Word::ALL.len() * 8;
+pub const CONTROL_FILE_BYTES: usize = ControlWord::ALL.len() * 8;
 /// Rates are parts of this.
-pub const RATE_UNIT: u64 = 1_000_000;
+pub const FULL_RATE: u64 = 1_000_000;
 
 /// A word of the file, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(usize)]
-pub enum Word {
+pub enum ControlWord {
     /// Nanoseconds by which the wall clock is ahead, as a signed number.
     WallStepNanos,
     /// How often a read of the monotonic clock is followed by a hold-up.
@@ -41,19 +41,19 @@
     FolderFaults,
 }
 
-impl Word {
+impl ControlWord {
     /// All words, in order.
-    pub const ALL: [Word; 10] = [
-        Word::WallStepNanos,
-        Word::HoldUpRate,
-        Word::HoldUpMicros,
-        Word::SocketFailRate,
-        Word::ShortRate,
-        Word::FolderFault,
-        Word::Seed,
-        Word::HoldUps,
-        Word::SocketFaults,
-        Word::FolderFaults,
+    pub const ALL: [ControlWord; 10] = [
+        ControlWord::WallStepNanos,
+        ControlWord::HoldUpRate,
+        ControlWord::HoldUpMicros,
+        ControlWord::SocketFailRate,
+        ControlWord::ShortRate,
+        ControlWord::FolderFault,
+        ControlWord::Seed,
+        ControlWord::HoldUps,
+        ControlWord::SocketFaults,
+        ControlWord::FolderFaults,
     ];
 }
 
@@ -65,29 +65,33 @@
     #[default]
     None,
     /// Nothing is written: ENOSPC.
-    Full,
+    NoSpace,
     /// Nothing is written: EIO.
-    Broken,
+    IoError,
     /// Half is written, then ENOSPC.
-    FullAfterHalf,
+    NoSpaceAfterHalf,
     /// Half is written, then EIO.
-    BrokenAfterHalf,
+    IoErrorAfterHalf,
 }
 
 impl FolderFault {
     /// All faults but none.
-    pub const FAULTS: [FolderFault; 4] =
-        [FolderFault::Full, FolderFault::Broken, FolderFault::FullAfterHalf, FolderFault::BrokenAfterHalf];
+    pub const FAULTS: [FolderFault; 4] = [
+        FolderFault::NoSpace,
+        FolderFault::IoError,
+        FolderFault::NoSpaceAfterHalf,
+        FolderFault::IoErrorAfterHalf,
+    ];
 
     /// The fault that a word holds.
-    pub fn from_word(word: u64) -> FolderFault {
+    pub fn from_value(word: u64) -> FolderFault {
         Self::FAULTS.into_iter().find(|fault| *fault as u64 == word).unwrap_or_default()
     }
 }
 
 /// The built shim beside a program of the same workspace, of the same build or else of the release build; an error names
 /// the command that builds it.
-pub fn shim_beside(program: &Path) -> io::Result<PathBuf> {
+pub fn find_shim(program: &Path) -> io::Result<PathBuf> {
     const NAME: &str = "libscalebarrow_fault_shim.so";
     let target = program.ancestors().find(|folder| folder.ends_with("target"));
     let same = program.with_file_name(NAME);
@@ -99,44 +103,44 @@
 
 /// The test's side of the file.
 #[derive(Debug)]
-pub struct Control {
+pub struct ControlFile {
     path: PathBuf,
     file: File,
 }
 
-impl Control {
+impl ControlFile {
     /// A new file in which nothing fails.
-    pub fn create(path: &Path) -> io::Result<Control> {
+    pub fn create(path: &Path) -> io::Result<ControlFile> {
         let file = File::options().create(true).truncate(true).read(true).write(true).open(path)?;
-        file.write_all_at(&[0; SIZE], 0)?;
-        Ok(Control { path: path.to_owned(), file })
+        file.write_all_at(&[0; CONTROL_FILE_BYTES], 0)?;
+        Ok(ControlFile { path: path.to_owned(), file })
     }
 
     /// A file that was created before, as it is.
-    pub fn open(path: &Path) -> io::Result<Control> {
+    pub fn open(path: &Path) -> io::Result<ControlFile> {
         let file = File::options().read(true).write(true).open(path)?;
-        Ok(Control { path: path.to_owned(), file })
+        Ok(ControlFile { path: path.to_owned(), file })
     }
 
-    /// The file's path, for [`CONTROL_VARIABLE`].
+    /// The file's path, for [`CONTROL_FILE_VARIABLE`].
     pub fn path(&self) -> &Path {
         &self.path
     }
 
     /// Sets a word. The process sees it with its next call.
-    pub fn set(&self, word: Word, value: u64) -> io::Result<()> {
+    pub fn set(&self, word: ControlWord, value: u64) -> io::Result<()> {
         self.file.write_all_at(&value.to_ne_bytes(), word as u64 * 8)
     }
 
     /// Reads a word.
-    pub fn get(&self, word: Word) -> io::Result<u64> {
+    pub fn get(&self, word: ControlWord) -> io::Result<u64> {
         let mut bytes = [0; 8];
         self.file.read_exact_at(&mut bytes, word as u64 * 8)?;
         Ok(u64::from_ne_bytes(bytes))
     }
 
     /// Sets how far the wall clock is ahead, in seconds; behind where it is negative.
-    pub fn set_wall_step(&self, seconds: f64) -> io::Result<()> {
-        self.set(Word::WallStepNanos, ((seconds * 1e9) as i64).cast_unsigned())
+    pub fn set_wall_clock_offset(&self, seconds: f64) -> io::Result<()> {
+        self.set(ControlWord::WallStepNanos, ((seconds * 1e9) as i64).cast_unsigned())
     }
 }
--- a/crates/fault-shim/src/clock.rs
+++ b/crates/fault-shim/src/clock.rs
@@ -4,7 +4,7 @@
 use crate::control;
 use crate::real::real;
 use libc::{c_int, clockid_t, timespec};
-use scalebarrow_fault_control::Word;
+use scalebarrow_fault_control::ControlWord;
 
 const NANOS: i64 = 1_000_000_000;
 
@@ -32,7 +32,7 @@
 }
 
 fn step(time: &mut timespec) {
-    let step = control::get(Word::WallStepNanos).cast_signed();
+    let step = control::get(ControlWord::WallStepNanos).cast_signed();
     let nanos = time.tv_nsec + step % NANOS;
     time.tv_sec += step / NANOS + nanos.div_euclid(NANOS);
     time.tv_nsec = nanos.rem_euclid(NANOS);
@@ -40,11 +40,11 @@
 
 /// Where chance has it, the caller goes on only after a while, with a reading that is old by then.
 fn hold_up() {
-    let most = control::get(Word::HoldUpMicros);
-    if most == 0 || !happens(Word::HoldUpRate) {
+    let most = control::get(ControlWord::HoldUpMicros);
+    if most == 0 || !happens(ControlWord::HoldUpRate) {
         return;
     }
-    control::count(Word::HoldUps);
+    control::count(ControlWord::HoldUps);
     let nanos = (draw() % (most + 1)).saturating_mul(1000);
     let pause = timespec { tv_sec: 0, tv_nsec: (nanos as i64).min(NANOS - 1) };
     // SAFETY: the pause is valid, and the rest of an interrupted one is not asked for.
--- a/crates/fault-shim/src/files.rs
+++ b/crates/fault-shim/src/files.rs
@@ -3,7 +3,7 @@
 use crate::control;
 use crate::real::{fail, real};
 use libc::{c_char, c_int, c_void, mode_t, off64_t, size_t, ssize_t};
-use scalebarrow_fault_control::{FOLDER_VARIABLE, FolderFault, Word};
+use scalebarrow_fault_control::{ControlWord, FolderFault, STATE_FOLDER_VARIABLE};
 use std::ffi::CStr;
 use std::os::unix::ffi::OsStrExt;
 use std::sync::OnceLock;
@@ -22,7 +22,8 @@
 type Sync = unsafe extern "C" fn(c_int) -> c_int;
 
 fn in_folder(path: *const c_char) -> bool {
-    let folder = FOLDER.get_or_init(|| std::env::var_os(FOLDER_VARIABLE).map(|f| f.as_bytes().to_vec()));
+    let folder =
+        FOLDER.get_or_init(|| std::env::var_os(STATE_FOLDER_VARIABLE).map(|f| f.as_bytes().to_vec()));
     // SAFETY: the caller handed a C string to a function that takes one.
     let path = unsafe { CStr::from_ptr(path) }.to_bytes();
     folder.as_ref().is_some_and(|folder| path.starts_with(folder))
@@ -41,17 +42,17 @@
 
 /// What is wrong with the folder now, and the error that tells it.
 fn fault() -> Option<(FolderFault, c_int)> {
-    let fault = FolderFault::from_word(control::get(Word::FolderFault));
+    let fault = FolderFault::from_value(control::get(ControlWord::FolderFault));
     let error = match fault {
         FolderFault::None => return None,
-        FolderFault::Full | FolderFault::FullAfterHalf => libc::ENOSPC,
-        FolderFault::Broken | FolderFault::BrokenAfterHalf => libc::EIO,
+        FolderFault::NoSpace | FolderFault::NoSpaceAfterHalf => libc::ENOSPC,
+        FolderFault::IoError | FolderFault::IoErrorAfterHalf => libc::EIO,
     };
     Some((fault, error))
 }
 
 fn failed(error: c_int) -> c_int {
-    control::count(Word::FolderFaults);
+    control::count(ControlWord::FolderFaults);
     fail(error)
 }
 
@@ -95,8 +96,8 @@
     match fault() {
         None => real!(write(file, bytes, count) as Write),
         // The first half is written; the call for the second half fails, as it is short then.
-        Some((FolderFault::FullAfterHalf | FolderFault::BrokenAfterHalf, _)) if count > 1 => {
-            control::count(Word::FolderFaults);
+        Some((FolderFault::NoSpaceAfterHalf | FolderFault::IoErrorAfterHalf, _)) if count > 1 => {
+            control::count(ControlWord::FolderFaults);
             real!(write(file, bytes, count / 2) as Write)
         }
         Some((_, error)) => failed(error) as ssize_t,
--- a/crates/fault-shim/src/sockets.rs
+++ b/crates/fault-shim/src/sockets.rs
@@ -4,7 +4,7 @@
 use crate::control;
 use crate::real::{fail, real};
 use libc::{c_int, c_void, epoll_event, size_t, sockaddr, socklen_t, ssize_t};
-use scalebarrow_fault_control::Word;
+use scalebarrow_fault_control::ControlWord;
 
 type Socket = unsafe extern "C" fn(c_int, c_int, c_int) -> c_int;
 type Connect = unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int;
@@ -15,19 +15,19 @@
 
 /// One of the errors, where chance has it.
 fn fault(errors: &[c_int]) -> Option<c_int> {
-    if !happens(Word::SocketFailRate) {
+    if !happens(ControlWord::SocketFailRate) {
         return None;
     }
-    control::count(Word::SocketFaults);
+    control::count(ControlWord::SocketFaults);
     Some(fail(errors[draw() as usize % errors.len()]))
 }
 
 /// How much of a read or write is asked for.
 fn shortened(count: size_t) -> size_t {
-    if count < 2 || !happens(Word::ShortRate) {
+    if count < 2 || !happens(ControlWord::ShortRate) {
         return count;
     }
-    control::count(Word::SocketFaults);
+    control::count(ControlWord::SocketFaults);
     1 + draw() as size_t % (count - 1)
 }
 
--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -5,7 +5,7 @@
 use crate::guard::Guard;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
-use scalebarrow_fault_control::{CONTROL_VARIABLE, Control, shim_beside};
+use scalebarrow_fault_control::{CONTROL_FILE_VARIABLE, ControlFile, find_shim};
 use std::fs::{self, File};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -109,10 +109,10 @@
     }
 
     /// Loads the fault shim into the process from the next start on. Returns its control.
-    pub fn load_shim(&mut self) -> Result<Control, Error> {
-        let control = Control::create(&self.folder.path().join("control"))?;
-        let shim = shim_beside(&std::path::absolute(&self.program)?)?;
-        self.environment = vec![("LD_PRELOAD", shim), (CONTROL_VARIABLE, control.path().to_owned())];
+    pub fn load_shim(&mut self) -> Result<ControlFile, Error> {
+        let control = ControlFile::create(&self.folder.path().join("control"))?;
+        let shim = find_shim(&std::path::absolute(&self.program)?)?;
+        self.environment = vec![("LD_PRELOAD", shim), (CONTROL_FILE_VARIABLE, control.path().to_owned())];
         Ok(control)
     }
 
--- a/crates/scale/src/soak/nemesis.rs
+++ b/crates/scale/src/soak/nemesis.rs
@@ -11,7 +11,7 @@
 use crate::standins::receivers::{AnswerPath, Behaviour, Receivers};
 use crate::standins::server::ServerActions;
 use nix::sys::signal::Signal;
-use scalebarrow_fault_control::{RATE_UNIT, Word};
+use scalebarrow_fault_control::{ControlWord, FULL_RATE};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// From SIGTERM to SIGKILL.
@@ -20,9 +20,9 @@
 const START_PAUSE: Duration = Duration::from_millis(600);
 const LOOK: Duration = Duration::from_millis(5);
 /// One call in so many fails, and one comes short.
-const SYSTEM_CALL_RATE: u64 = RATE_UNIT / 40;
+const SYSTEM_CALL_RATE: u64 = FULL_RATE / 40;
 /// One reading of the clock in so many is followed by a hold-up.
-const HOLD_UP_RATE: u64 = RATE_UNIT / 25;
+const HOLD_UP_RATE: u64 = FULL_RATE / 25;
 /// So long before and after a change on the way it is uncertain which answers arrive.
 const TAKES_HOLD: Duration = Duration::from_millis(50);
 /// Between two configurations in a row.
@@ -198,7 +198,12 @@
 
 /// No fault of the shim goes on; the wall clock stays where it is.
 fn heal(subject: &Subject) -> Result<(), Error> {
-    for word in [Word::HoldUpRate, Word::SocketFailRate, Word::ShortRate, Word::FolderFault] {
+    for word in [
+        ControlWord::HoldUpRate,
+        ControlWord::SocketFailRate,
+        ControlWord::ShortRate,
+        ControlWord::FolderFault,
+    ] {
         subject.control.set(word, 0)?;
     }
     Ok(())
@@ -210,16 +215,16 @@
     let (control, amount) = (&subject.control, event.amount);
     let rate = |rate: u64| if begins { rate } else { 0 };
     match event.kind {
-        Kind::ClockStep if begins => control.set_wall_step(amount)?,
+        Kind::ClockStep if begins => control.set_wall_clock_offset(amount)?,
         Kind::HoldUp => {
-            control.set(Word::HoldUpMicros, (amount * 1e3) as u64)?;
-            control.set(Word::HoldUpRate, rate(HOLD_UP_RATE))?;
+            control.set(ControlWord::HoldUpMicros, (amount * 1e3) as u64)?;
+            control.set(ControlWord::HoldUpRate, rate(HOLD_UP_RATE))?;
         }
         Kind::SystemCalls => {
-            control.set(Word::SocketFailRate, rate(SYSTEM_CALL_RATE))?;
-            control.set(Word::ShortRate, rate(SYSTEM_CALL_RATE))?;
+            control.set(ControlWord::SocketFailRate, rate(SYSTEM_CALL_RATE))?;
+            control.set(ControlWord::ShortRate, rate(SYSTEM_CALL_RATE))?;
         }
-        Kind::Folder => control.set(Word::FolderFault, rate(amount as u64))?,
+        Kind::Folder => control.set(ControlWord::FolderFault, rate(amount as u64))?,
         Kind::Reload if begins => reload(testbed, subject, amount as usize)?,
         Kind::Crowd if begins => {
             let (door, stop, lasts) = (door.clone(), stop.clone(), Duration::from_secs_f64(event.lasts));
@@ -267,10 +272,10 @@
         _ => kill(testbed, subject)?,
     }
     if event.kind == Kind::ClockStepBetween {
-        subject.control.set_wall_step(event.amount)?;
+        subject.control.set_wall_clock_offset(event.amount)?;
     }
     // A folder that failed until the kill is well again.
-    subject.control.set(Word::FolderFault, 0)?;
+    subject.control.set(ControlWord::FolderFault, 0)?;
     std::thread::sleep(START_PAUSE);
     start(testbed, subject)?;
     if event.kind != Kind::KillTwice {
--- a/crates/scale/src/soak/run.rs
+++ b/crates/scale/src/soak/run.rs
@@ -8,7 +8,7 @@
 use crate::guard::Guard;
 use crate::interrupt::Stop;
 use crate::standins::judge::{Breach, RunCounts};
-use scalebarrow_fault_control::Word;
+use scalebarrow_fault_control::ControlWord;
 use std::fmt::Write;
 use std::path::Path;
 use std::sync::Arc;
@@ -71,7 +71,7 @@
 pub fn play(program: &Path, plan: &Plan, logs: Option<&Path>, guard: &Arc<Guard>) -> Result<Outcome, Error> {
     let (testbed, mut subjects) = Testbed::prepare(program, plan, guard)?;
     for subject in &mut subjects {
-        subject.control.set(Word::Seed, plan.seed ^ u64::from(subject.me) << 40)?;
+        subject.control.set(ControlWord::Seed, plan.seed ^ u64::from(subject.me) << 40)?;
         subject.sender.start()?;
     }
     let (began, stop) = (Instant::now(), guard.stop());
@@ -89,8 +89,8 @@
         keep_logs(folder, plan, &subjects)?;
     }
     let (counts, breaches) = testbed.record.with(|judge, now| judge.finish(now));
-    let sum = |word: Word| subjects.iter().map(|subject| subject.control.get(word).unwrap_or(0)).sum();
-    let faults = [Word::HoldUps, Word::SocketFaults, Word::FolderFaults].map(sum);
+    let sum = |word: ControlWord| subjects.iter().map(|subject| subject.control.get(word).unwrap_or(0)).sum();
+    let faults = [ControlWord::HoldUps, ControlWord::SocketFaults, ControlWord::FolderFaults].map(sum);
     let findings =
         breaches.into_iter().take(MOST_BREACHES).map(|breach| find(breach, plan, &subjects, offset));
     Ok(Outcome { counts, restarts, faults, findings: findings.collect() })
--- a/crates/scale/src/soak/testbed.rs
+++ b/crates/scale/src/soak/testbed.rs
@@ -12,7 +12,7 @@
 use crate::standins::list_service::{Endpoint, ListService};
 use crate::standins::receivers::{Behaviour, Receivers, SharedJudge};
 use crate::standins::server::Server;
-use scalebarrow_fault_control::Control;
+use scalebarrow_fault_control::ControlFile;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -35,7 +35,7 @@
 pub struct Subject {
     pub me: u16,
     pub sender: Sender,
-    pub control: Control,
+    pub control: ControlFile,
     settings: SenderSettings,
 }
 
--- a/crates/sender/tests/program/folder.rs
+++ b/crates/sender/tests/program/folder.rs
@@ -7,7 +7,7 @@
 /// Guards against a start that is refused: the unfinished record that a kill left behind could not be cut off.
 #[test]
 fn a_start_on_a_torn_journal_needs_no_write() {
-    for fault in [FolderFault::Full, FolderFault::Broken] {
+    for fault in [FolderFault::NoSpace, FolderFault::IoError] {
         println!("{fault:?}");
         let at = address();
         let known = list(1, true, &[host("a", at, "plain", "SERVING")]);
--- a/crates/sender/tests/program/helpers.rs
+++ b/crates/sender/tests/program/helpers.rs
@@ -1,6 +1,8 @@
 //! The built program, and stand-ins for those it speaks to: endpoints, the platform, clients.
 
-use scalebarrow_fault_control::{CONTROL_VARIABLE, Control, FolderFault, RATE_UNIT, Word, shim_beside};
+use scalebarrow_fault_control::{
+    CONTROL_FILE_VARIABLE, ControlFile, ControlWord, FULL_RATE, FolderFault, find_shim,
+};
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -239,8 +241,8 @@
     command.args(["-c", r#"[ ! -f "$0" ] || ulimit -n "$(cat "$0")"; exec "$@""#]).arg(limit).arg(program);
     let control = folder.join("control");
     if control.exists() {
-        let shim = shim_beside(Path::new(env!("CARGO_BIN_EXE_scalebarrow"))).unwrap();
-        command.env("LD_PRELOAD", shim).env(CONTROL_VARIABLE, control);
+        let shim = find_shim(Path::new(env!("CARGO_BIN_EXE_scalebarrow"))).unwrap();
+        command.env("LD_PRELOAD", shim).env(CONTROL_FILE_VARIABLE, control);
     }
     command.arg(sub).env("LB_CONFIG", folder.join("config.json")).env("LB_STATE", folder.join("state"));
     command
@@ -269,7 +271,7 @@
     /// The same, with the fault shim loaded into it.
     pub fn start_with_shim(platform: &Platform, known: &str, changes: &[(&str, &str)]) -> Self {
         let folder = folder();
-        Control::create(&folder.join("control")).unwrap();
+        ControlFile::create(&folder.join("control")).unwrap();
         Self::start_in(folder, platform, known, changes)
     }
 
@@ -352,20 +354,20 @@
 
     /// Steps the wall clock that it sees, from what the system's says.
     pub fn step_wall_clock(&self, seconds: f64) {
-        Control::open(&self.folder.join("control")).unwrap().set_wall_step(seconds).unwrap();
+        ControlFile::open(&self.folder.join("control")).unwrap().set_wall_clock_offset(seconds).unwrap();
     }
 
     /// Holds it up behind each reading of its clock, for so long at most.
     pub fn hold_up(&self, most: Duration) {
-        let control = Control::open(&self.folder.join("control")).unwrap();
-        control.set(Word::HoldUpMicros, most.as_micros() as u64).unwrap();
-        control.set(Word::HoldUpRate, RATE_UNIT).unwrap();
+        let control = ControlFile::open(&self.folder.join("control")).unwrap();
+        control.set(ControlWord::HoldUpMicros, most.as_micros() as u64).unwrap();
+        control.set(ControlWord::HoldUpRate, FULL_RATE).unwrap();
     }
 
     /// Has writes to its folder fail, or go through again.
     pub fn fail_folder(&self, fault: FolderFault) {
-        let control = Control::open(&self.folder.join("control")).unwrap();
-        control.set(Word::FolderFault, fault as u64).unwrap();
+        let control = ControlFile::open(&self.folder.join("control")).unwrap();
+        control.set(ControlWord::FolderFault, fault as u64).unwrap();
     }
 
     /// Leaves an unfinished record at the end of its journal, as a kill within a write does.
