--- a/crates/sender/tests/program/crossings/endpoints.rs
+++ b/crates/sender/tests/program/crossings/endpoints.rs
@@ -1,8 +1,9 @@
-//! Calls to endpoints: what comes as they are sent, and their answers.
+//! Races with calls to endpoints: events while they are sent, and their responses.
 
-use super::{ms, with_manual};
+use super::{millis, with_manual_endpoint};
 use crate::helpers::{
-    Crowd, Ledger, Manual, OK, Platform, Program, address, arrived, hand_in, hear, host, list, reset,
+    DeliveryChecker, ManualEndpoint, ManyClients, OK_RESPONSE, Platform, Program, endpoint_entry,
+    endpoint_list, read_message, reset_connection, unique_address, wait_until_received, webhook_request,
 };
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -10,210 +11,219 @@
 use std::time::Instant;
 
 #[test]
-fn an_answer_and_the_end_of_its_time_in_one_turn() {
-    let later = "HTTP/1.1 429 no\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n";
-    // Event type, TTL, how long the program stands still with the call out, the answer, whether it delivers; and whether it
-    // is seen in the same turn or only there, behind so many other events that they make a turn of their own.
+fn a_200_read_late_counts_unless_the_ttl_is_over() {
+    let refusal_with_wait = "HTTP/1.1 429 no\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n";
+    // Event type, TTL in ms, how long the program is stopped in ms with the call in flight, the response,
+    // whether it counts as delivered, and whether the program sees it in the same loop iteration or only in
+    // the next, behind many other events.
     let cases = [
-        ("when the time is up a 200 delivers nothing", "once", 600, 700, OK, false, true),
-        ("nor where it may be sent again", "idem", 600, 700, OK, false, true),
-        ("before that it does", "once", 8000, 2600, OK, true, true),
-        // Only one that may be sent again is given up before its time: after 2.1 s here.
-        ("also when patience is over", "idem", 8000, 2600, OK, true, true),
-        ("the same where it is not seen yet", "idem", 8000, 2600, OK, true, false),
-        ("a refusal when the time is up", "once", 600, 700, later, false, true),
+        ("a 200 after the TTL does not count", "once", 600, 700, OK_RESPONSE, false, true),
+        ("nor for an idempotent webhook", "idem", 600, 700, OK_RESPONSE, false, true),
+        ("a 200 before the end of the TTL counts", "once", 8000, 2600, OK_RESPONSE, true, true),
+        // Only a call that may be repeated is given up before its TTL is over: after 2.1 s here.
+        ("also when the call would be given up", "idem", 8000, 2600, OK_RESPONSE, true, true),
+        ("also when it is not seen yet", "idem", 8000, 2600, OK_RESPONSE, true, false),
+        ("a refusal after the TTL", "once", 600, 700, refusal_with_wait, false, true),
     ];
-    for (name, event_type, ttl, still, answer, good, seen) in cases {
+    for (name, event_type, ttl_ms, stopped_ms, response, delivered, seen_at_once) in cases {
         println!("{name}");
-        let (endpoint, platform, program) = with_manual(&[Crowd::ROOM]);
-        let mut ledger = Ledger::default();
-        ledger.taken(&program, event_type, "once-x", ttl);
-        let mut line = endpoint.accept();
-        ledger.heard(&mut line);
-        let mut crowd = (!seen).then(|| Crowd::connect(&program));
-        program.stalled(|| {
-            sleep(ms(still));
-            if let Some(crowd) = &mut crowd {
-                crowd.speak();
+        let (endpoint, platform, program) = with_manual_endpoint(&[ManyClients::CONFIG_CHANGE]);
+        let mut checker = DeliveryChecker::default();
+        checker.submit(&program, event_type, "once-x", ttl_ms);
+        let mut connection = endpoint.accept();
+        checker.read_call(&mut connection);
+        let mut other_clients = (!seen_at_once).then(|| ManyClients::connect(&program));
+        program.while_stopped(|| {
+            sleep(millis(stopped_ms));
+            if let Some(other_clients) = &mut other_clients {
+                other_clients.send_requests();
             }
-            line.write_all(answer.as_bytes()).unwrap();
-            arrived(line.local_addr().unwrap());
+            connection.write_all(response.as_bytes()).unwrap();
+            wait_until_received(connection.local_addr().unwrap());
         });
-        if good {
-            ledger.good("once-x");
-            program.logged("outcome=Delivered", 1);
-            assert!(endpoint.is_left_alone(), "{name}: it goes again");
+        if delivered {
+            checker.add_delivered("once-x");
+            program.wait_for_log("outcome=Delivered", 1);
+            assert!(endpoint.has_no_pending_connection(), "{name}: the webhook was sent again");
         }
-        ledger.check(&platform);
+        checker.check_final_answers(&platform);
     }
 }
 
 #[test]
-fn an_answer_that_is_there_but_not_seen_as_its_call_is_called_off_counts() {
-    let (endpoint, platform, program) = with_manual(&[Crowd::ROOM, ("\"slots\":40", "\"slots\":1")]);
-    let mut ledger = Ledger::default();
-    ledger.taken(&program, "once", "once-x", 8000);
-    let mut line = endpoint.accept();
-    ledger.heard(&mut line);
-    // It waits for the only slot: the call in it is called off once patience with it is over, after 2.1 s.
-    ledger.taken(&program, "idem", "next", 8000);
-    let mut crowd = Crowd::connect(&program);
-    program.stalled(|| {
-        sleep(ms(2600));
-        crowd.speak();
-        line.write_all(OK.as_bytes()).unwrap();
-        arrived(line.local_addr().unwrap());
+fn a_response_ready_but_unseen_when_its_call_is_given_up_counts() {
+    let (endpoint, platform, program) =
+        with_manual_endpoint(&[ManyClients::CONFIG_CHANGE, ("\"slots\":40", "\"slots\":1")]);
+    let mut checker = DeliveryChecker::default();
+    checker.submit(&program, "once", "once-x", 8000);
+    let mut connection = endpoint.accept();
+    checker.read_call(&mut connection);
+    // The second webhook waits for the only slot: the call in it is given up after 2.1 s.
+    checker.submit(&program, "idem", "next", 8000);
+    let mut other_clients = ManyClients::connect(&program);
+    program.while_stopped(|| {
+        sleep(millis(2600));
+        other_clients.send_requests();
+        connection.write_all(OK_RESPONSE.as_bytes()).unwrap();
+        wait_until_received(connection.local_addr().unwrap());
     });
-    ledger.good("once-x");
-    program.logged("outcome=Delivered", 1);
-    // Over this connection or another one.
-    drop(line);
-    let _line = ledger.delivered(&endpoint, "next");
-    ledger.check(&platform);
+    checker.add_delivered("once-x");
+    program.wait_for_log("outcome=Delivered", 1);
+    // The next call may use this connection or a new one.
+    drop(connection);
+    let _connection = checker.deliver_next(&endpoint, "next");
+    checker.check_final_answers(&platform);
 }
 
 #[test]
-fn an_answer_that_stops_half_way_is_given_up_long_before_patience_is_over() {
-    for half in ["HTTP/1.1 503 no\r\nContent-", "HTTP/1.1 503 no\r\nContent-Length: 9\r\n\r\nhal"] {
-        let (endpoint, platform, program) = with_manual(&[]);
-        let mut ledger = Ledger::default();
-        ledger.taken(&program, "once", "once-x", 8000);
-        let mut line = endpoint.accept();
-        ledger.heard(&mut line);
-        line.write_all(half.as_bytes()).unwrap();
-        let since = Instant::now();
-        // It may have run: the only final answer is a notice.
-        ledger.check(&platform);
-        assert!(since.elapsed() < ms(1200), "{:?}", since.elapsed());
+fn an_incomplete_response_is_given_up_long_before_the_call_timeout() {
+    for partial_response in ["HTTP/1.1 503 no\r\nContent-", "HTTP/1.1 503 no\r\nContent-Length: 9\r\n\r\nhal"]
+    {
+        let (endpoint, platform, program) = with_manual_endpoint(&[]);
+        let mut checker = DeliveryChecker::default();
+        checker.submit(&program, "once", "once-x", 8000);
+        let mut connection = endpoint.accept();
+        checker.read_call(&mut connection);
+        connection.write_all(partial_response.as_bytes()).unwrap();
+        let started_at = Instant::now();
+        // The webhook may have run: its only final answer is a notice.
+        checker.check_final_answers(&platform);
+        assert!(started_at.elapsed() < millis(1200), "{:?}", started_at.elapsed());
     }
 }
 
 #[test]
-fn a_connection_that_comes_up_late_carries_only_what_may_still_go() {
-    let longer = (r#""connect-timeout-ms":1000.0"#, r#""connect-timeout-ms":9000.0"#);
-    for what in ["drained", "moved", "out of time"] {
-        println!("{what}");
-        let (at, other) = (address(), address());
-        let (endpoint, moved_to) = (Manual::narrow(at), Manual::start(other));
-        let known = list(1, true, &[host("a", at, "plain", "SERVING")]);
-        let platform = Platform::start(known.clone(), 0);
-        let program = Program::start(&platform, &known, &[longer]);
-        let mut ledger = Ledger::default();
-        let filler = TcpStream::connect(at).unwrap();
+fn a_late_connection_carries_no_call_to_a_changed_endpoint_or_after_the_ttl() {
+    let long_connect_timeout = (r#""connect-timeout-ms":1000.0"#, r#""connect-timeout-ms":9000.0"#);
+    for change in ["drained", "moved", "TTL over"] {
+        println!("{change}");
+        let (old_address, new_address) = (unique_address(), unique_address());
+        let (endpoint, moved_to) =
+            (ManualEndpoint::start_with_short_accept_queue(old_address), ManualEndpoint::start(new_address));
+        let initial_list = endpoint_list(1, true, &[endpoint_entry("a", old_address, "plain", "SERVING")]);
+        let platform = Platform::start(initial_list.clone(), 0);
+        let program = Program::start(&platform, &initial_list, &[long_connect_timeout]);
+        let mut checker = DeliveryChecker::default();
+        let filler = TcpStream::connect(old_address).unwrap();
         let accepted = endpoint.accept();
-        let second = TcpStream::connect(at).unwrap();
-        ledger.taken(&program, "once", "once-x", if what == "out of time" { 1600 } else { 3000 });
-        program.logged("code=\"connecting\"", 1);
-        let come_up = || {
-            drop((endpoint.accept(), filler, accepted, second));
-            // Its first packet was lost; the next comes a second after it.
-            let late = endpoint.accept();
-            late.set_read_timeout(Some(ms(3500))).unwrap();
-            late
+        let queued = TcpStream::connect(old_address).unwrap();
+        checker.submit(&program, "once", "once-x", if change == "TTL over" { 1600 } else { 3000 });
+        program.wait_for_log("code=\"connecting\"", 1);
+        let establish_connection = || {
+            drop((endpoint.accept(), filler, accepted, queued));
+            // The first connect was dropped; TCP repeats it after a second.
+            let late_connection = endpoint.accept();
+            late_connection.set_read_timeout(Some(millis(3500))).unwrap();
+            late_connection
         };
-        let mut late = match what {
-            "out of time" => program.stalled(|| {
-                let late = come_up();
-                sleep(ms(1200));
-                late
+        let mut late_connection = match change {
+            "TTL over" => program.while_stopped(|| {
+                let late_connection = establish_connection();
+                sleep(millis(1200));
+                late_connection
             }),
             _ => {
-                let health = if what == "drained" { "DRAINING" } else { "SERVING" };
-                let dial = if what == "drained" { at } else { other };
-                platform.tell(list(2, false, &[host("a", dial, "plain", health)]));
-                program.logged("code=\"listed\" seq=2", 1);
-                come_up()
+                let health = if change == "drained" { "DRAINING" } else { "SERVING" };
+                let address = if change == "drained" { old_address } else { new_address };
+                platform.answer_watch(endpoint_list(
+                    2,
+                    false,
+                    &[endpoint_entry("a", address, "plain", health)],
+                ));
+                program.wait_for_log("code=\"listed\" seq=2", 1);
+                establish_connection()
             }
         };
-        if what == "moved" {
-            let _line = ledger.delivered(&moved_to, "once-x");
+        if change == "moved" {
+            let _connection = checker.deliver_next(&moved_to, "once-x");
         }
-        ledger.check(&platform);
-        late.set_read_timeout(Some(ms(200))).unwrap();
-        assert!(!matches!(late.read(&mut [0]), Ok(1..)), "{what}: it went out");
+        checker.check_final_answers(&platform);
+        late_connection.set_read_timeout(Some(millis(200))).unwrap();
+        assert!(!matches!(late_connection.read(&mut [0]), Ok(1..)), "{change}: the call was sent");
     }
 }
 
 #[test]
-fn a_call_that_could_not_be_back_before_the_end_waits_for_the_next_life() {
-    let longer = (r#""connect-timeout-ms":1000.0"#, r#""connect-timeout-ms":9000.0"#);
-    let at = address();
-    let endpoint = Manual::narrow(at);
-    let known = list(1, true, &[host("a", at, "plain", "SERVING")]);
-    let platform = Platform::start(known.clone(), 0);
-    let mut program = Program::start(&platform, &known, &[longer]);
-    let mut ledger = Ledger::default();
-    let filler = TcpStream::connect(at).unwrap();
+fn a_call_that_cannot_return_before_the_exit_is_sent_after_the_restart() {
+    let long_connect_timeout = (r#""connect-timeout-ms":1000.0"#, r#""connect-timeout-ms":9000.0"#);
+    let address = unique_address();
+    let endpoint = ManualEndpoint::start_with_short_accept_queue(address);
+    let initial_list = endpoint_list(1, true, &[endpoint_entry("a", address, "plain", "SERVING")]);
+    let platform = Platform::start(initial_list.clone(), 0);
+    let mut program = Program::start(&platform, &initial_list, &[long_connect_timeout]);
+    let mut checker = DeliveryChecker::default();
+    let filler = TcpStream::connect(address).unwrap();
     let accepted = endpoint.accept();
-    let second = TcpStream::connect(at).unwrap();
-    ledger.taken(&program, "once", "once-x", 8000);
-    program.logged("code=\"connecting\"", 1);
-    // The end comes after 3.3 s, and as nothing is known of the endpoint a call is given 0.6 s.
-    program.signal("TERM");
-    sleep(ms(2850));
-    drop((endpoint.accept(), filler, accepted, second));
-    assert!(program.wait().success());
+    let queued = TcpStream::connect(address).unwrap();
+    checker.submit(&program, "once", "once-x", 8000);
+    program.wait_for_log("code=\"connecting\"", 1);
+    // The program exits 3.3 s after the signal. It knows nothing about the endpoint's latency, so it allows
+    // a call 0.6 s.
+    program.send_signal("TERM");
+    sleep(millis(2850));
+    drop((endpoint.accept(), filler, accepted, queued));
+    assert!(program.wait_for_exit().success());
     drop(endpoint.accept());
-    program.restart();
-    let _line = ledger.delivered(&endpoint, "once-x");
-    ledger.check(&platform);
+    program.kill_and_restart();
+    let _connection = checker.deliver_next(&endpoint, "once-x");
+    checker.check_final_answers(&platform);
 }
 
 #[test]
-fn an_endpoint_that_ends_the_connection_as_it_is_used() {
-    // What comes with the next request, whether the call is on its way then, and whether it is seen in the same turn or
-    // only there, behind so many other events that they make a turn of their own.
+fn a_call_on_a_connection_that_the_endpoint_closes_is_retried_only_if_not_sent() {
+    // The event at the next request, whether the call is in flight then, and whether the program sees it in
+    // the same loop iteration or only in the next, behind many other events.
     let cases = [
-        ("its end", false, true),
+        ("a close", false, true),
         ("a reset", false, true),
-        ("noise", false, true),
+        ("unexpected bytes", false, true),
         ("a reset", true, true),
-        ("its end", false, false),
+        ("a close", false, false),
         ("a reset", false, false),
-        ("noise", false, false),
+        ("unexpected bytes", false, false),
     ];
-    for (what, on_its_way, seen) in cases {
-        println!("{what}, on its way: {on_its_way}, seen: {seen}");
-        let (endpoint, platform, program) = with_manual(&[Crowd::ROOM]);
-        let mut ledger = Ledger::default();
-        let mut line = None;
-        // The module keeps a connection only from the second call on.
+    for (event, in_flight, seen_at_once) in cases {
+        println!("{event}, in flight: {in_flight}, seen at once: {seen_at_once}");
+        let (endpoint, platform, program) = with_manual_endpoint(&[ManyClients::CONFIG_CHANGE]);
+        let mut checker = DeliveryChecker::default();
+        let mut connection = None;
+        // A connection is kept only from the second call on.
         for id in ["first", "second"] {
-            ledger.taken(&program, "idem", id, 8000);
-            let next = ledger.delivered(&endpoint, id);
-            program.logged("outcome=Delivered", 1 + usize::from(id == "second"));
-            line = Some(next);
+            checker.submit(&program, "idem", id, 8000);
+            let next = checker.deliver_next(&endpoint, id);
+            program.wait_for_log("outcome=Delivered", 1 + usize::from(id == "second"));
+            connection = Some(next);
         }
-        let mut line = line.unwrap();
-        let bytes = hand_in("once", "once-x", 3000, b"");
-        let mut crowd = (!seen).then(|| Crowd::connect(&program));
+        let mut connection = connection.unwrap();
+        let bytes = webhook_request("once", "once-x", 3000, b"");
+        let mut other_clients = (!seen_at_once).then(|| ManyClients::connect(&program));
         let mut client = program.connect();
-        if on_its_way {
+        if in_flight {
             client.write_all(&bytes).unwrap();
-            ledger.heard(&mut line);
-            program.stalled(|| reset(line));
+            checker.read_call(&mut connection);
+            program.while_stopped(|| reset_connection(connection));
         } else {
-            program.stalled(|| {
+            program.while_stopped(|| {
                 client.write_all(&bytes).unwrap();
-                if let Some(crowd) = &mut crowd {
-                    crowd.speak();
+                if let Some(other_clients) = &mut other_clients {
+                    other_clients.send_requests();
                 }
-                let at = line.local_addr().unwrap();
-                match what {
-                    "noise" => line.write_all(b"HTTP/1.1 200 O").unwrap(),
-                    "a reset" => reset(line),
-                    _ => drop(line),
+                let address = connection.local_addr().unwrap();
+                match event {
+                    "unexpected bytes" => connection.write_all(b"HTTP/1.1 200 O").unwrap(),
+                    "a reset" => reset_connection(connection),
+                    _ => drop(connection),
                 }
-                arrived(at);
+                wait_until_received(address);
             });
         }
-        assert_eq!(hear(&mut client).unwrap().status(), 202);
-        ledger.took("once-x");
-        if !on_its_way {
-            // Surely not begun: it goes out over another connection.
-            let _line = ledger.delivered(&endpoint, "once-x");
+        assert_eq!(read_message(&mut client).unwrap().status(), 202);
+        checker.add_accepted("once-x");
+        if !in_flight {
+            // The call cannot have begun: it is sent over another connection.
+            let _connection = checker.deliver_next(&endpoint, "once-x");
         }
-        ledger.check(&platform);
-        assert!(endpoint.is_left_alone(), "{what}: it goes again");
+        checker.check_final_answers(&platform);
+        assert!(endpoint.has_no_pending_connection(), "{event}: the webhook was sent again");
     }
 }
--- a/crates/sender/tests/program/crossings/list.rs
+++ b/crates/sender/tests/program/crossings/list.rs
@@ -1,139 +1,149 @@
-//! The list of endpoints, and what keeps it from being told.
+//! Races of requests for the endpoint list with its changes, with reloads and with failures.
 
-use super::{ms, with_manual};
-use crate::helpers::{Deed, Endpoint, Ledger, OK, Platform, Program, address, host, list};
+use super::{millis, with_manual_endpoint};
+use crate::helpers::{
+    Action, DeliveryChecker, Endpoint, OK_RESPONSE, Platform, Program, endpoint_entry, endpoint_list,
+    unique_address,
+};
 use std::io::Read;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_hang_up_in_a_pause_asks_the_new_platform_at_once() {
-    // Of a hundred senders, after some refusals: a turn of seconds, and pauses that grow.
-    const REFUSED: &str = "HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n";
-    let (old, new) = (Endpoint::start(|_, _| Deed::Say(REFUSED)), Endpoint::start(|_, _| Deed::Silence));
-    let known = list(1, true, &[host("a", address(), "plain", "SERVING")]);
-    let platform = Platform::start(known.clone(), 0);
-    let (from, to) = (platform.at.to_string(), old.at.to_string());
-    let ask = ("\"membership-mode\":\"push\"", "\"membership-mode\":\"ask\"");
-    let many = ("\"instances\":1", "\"instances\":100");
-    let program = Program::start(&platform, &known, &[(&from, &to), ask, many]);
+fn sighup_during_a_pause_requests_the_list_from_the_new_platform_at_once() {
+    // One of a hundred senders, after some refusals: it sends requests seconds apart, with growing pauses.
+    const REFUSAL_RESPONSE: &str = "HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n";
+    let (old_platform, new_platform) = (
+        Endpoint::start(|_, _| Action::Respond(REFUSAL_RESPONSE)),
+        Endpoint::start(|_, _| Action::NoResponse),
+    );
+    let initial_list = endpoint_list(1, true, &[endpoint_entry("a", unique_address(), "plain", "SERVING")]);
+    let platform = Platform::start(initial_list.clone(), 0);
+    let (from, to) = (platform.address.to_string(), old_platform.address.to_string());
+    let pull_mode = ("\"membership-mode\":\"push\"", "\"membership-mode\":\"ask\"");
+    let many_senders = ("\"instances\":1", "\"instances\":100");
+    let program = Program::start(&platform, &initial_list, &[(&from, &to), pull_mode, many_senders]);
     for _ in 0..3 {
-        old.call();
+        old_platform.next_call();
     }
-    let since = Instant::now();
-    program.reconfigure(&to, &new.at.to_string());
-    assert!(new.call().head.starts_with("GET /v1/endpoints"));
-    assert!(since.elapsed() < ms(500), "{:?}", since.elapsed());
+    let started_at = Instant::now();
+    program.edit_and_reload_config(&to, &new_platform.address.to_string());
+    assert!(new_platform.next_call().head.starts_with("GET /v1/endpoints"));
+    assert!(started_at.elapsed() < millis(500), "{:?}", started_at.elapsed());
 }
 
 #[test]
-fn hang_ups_do_not_put_off_the_next_call_for_the_list() {
-    const REFUSED: &str = "HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n";
-    let agent = Endpoint::start(|_, _| Deed::Say(REFUSED));
-    let known = list(1, true, &[host("a", address(), "plain", "SERVING")]);
-    let platform = Platform::start(known.clone(), 0);
-    let (from, to) = (platform.at.to_string(), agent.at.to_string());
-    let ask = ("\"membership-mode\":\"push\"", "\"membership-mode\":\"ask\"");
-    // Of a hundred senders each has its turn within seconds, drawn once.
-    let many = ("\"instances\":1", "\"instances\":100");
-    let program = Program::start(&platform, &known, &[(&from, &to), ask, many]);
-    let mut last = agent.call().at;
+fn repeated_sighups_do_not_delay_the_next_list_request() {
+    const REFUSAL_RESPONSE: &str = "HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n";
+    let discovery = Endpoint::start(|_, _| Action::Respond(REFUSAL_RESPONSE));
+    let initial_list = endpoint_list(1, true, &[endpoint_entry("a", unique_address(), "plain", "SERVING")]);
+    let platform = Platform::start(initial_list.clone(), 0);
+    let (from, to) = (platform.address.to_string(), discovery.address.to_string());
+    let pull_mode = ("\"membership-mode\":\"push\"", "\"membership-mode\":\"ask\"");
+    // Each of a hundred senders sends its request within seconds, at a time that is drawn once.
+    let many_senders = ("\"instances\":1", "\"instances\":100");
+    let program = Program::start(&platform, &initial_list, &[(&from, &to), pull_mode, many_senders]);
+    let mut last_call_at = discovery.next_call().received_at;
     for round in 0..30 {
-        program.signal("HUP");
-        program.logged("code=\"config-read\"", round + 1);
-        sleep(ms(150));
-        last = agent.calls.try_iter().last().map_or(last, |call| call.at);
-        // The longest pause is 1.3 s; a busy machine has a little more.
-        assert!(last.elapsed() < ms(2300), "{:?}", last.elapsed());
+        program.send_signal("HUP");
+        program.wait_for_log("code=\"config-read\"", round + 1);
+        sleep(millis(150));
+        last_call_at = discovery.calls.try_iter().last().map_or(last_call_at, |call| call.received_at);
+        // The longest pause is 1.3 s; the rest is margin for a busy machine.
+        assert!(last_call_at.elapsed() < millis(2300), "{:?}", last_call_at.elapsed());
     }
 }
 
 #[test]
-fn a_platform_that_refuses_is_asked_again_within_the_longest_pause() {
-    const REFUSED: &str = "HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n";
-    for (mode, longest) in [("push", 100), ("ask", 1300)] {
+fn refused_list_requests_are_retried_within_the_longest_pause() {
+    const REFUSAL_RESPONSE: &str = "HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n";
+    for (mode, longest_ms) in [("push", 100), ("ask", 1300)] {
         println!("{mode}");
-        let agent = Endpoint::start(|_, _| Deed::Say(REFUSED));
-        let known = list(1, true, &[host("a", address(), "plain", "SERVING")]);
-        let platform = Platform::start(known.clone(), 0);
-        let (from, to) = (platform.at.to_string(), agent.at.to_string());
+        let discovery = Endpoint::start(|_, _| Action::Respond(REFUSAL_RESPONSE));
+        let initial_list =
+            endpoint_list(1, true, &[endpoint_entry("a", unique_address(), "plain", "SERVING")]);
+        let platform = Platform::start(initial_list.clone(), 0);
+        let (from, to) = (platform.address.to_string(), discovery.address.to_string());
         let mode = format!("\"membership-mode\":\"{mode}\"");
         let changes = [(from.as_str(), to.as_str()), ("\"membership-mode\":\"push\"", &mode)];
-        let _program = Program::start(&platform, &known, &changes);
-        let calls: Vec<Instant> = (0..7).map(|_| agent.call().at).collect();
+        let _program = Program::start(&platform, &initial_list, &changes);
+        let calls: Vec<Instant> = (0..7).map(|_| discovery.next_call().received_at).collect();
         let pauses: Vec<Duration> = calls.windows(2).map(|pair| pair[1] - pair[0]).collect();
-        // A busy machine has a little more.
-        assert!(pauses.iter().all(|pause| *pause < ms(longest + 500)), "{pauses:?}");
+        // The other 500 ms are margin for a busy machine.
+        assert!(pauses.iter().all(|pause| *pause < millis(longest_ms + 500)), "{pauses:?}");
     }
 }
 
-/// A call for the list that goes wrong in each way, with a change that comes meanwhile: it is known in time.
+/// Guards against a change that is noticed too late because a request for the list failed, in each possible
+/// way, while it came.
 #[test]
-fn a_change_is_known_in_time_whatever_became_of_the_call_before() {
-    const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n";
-    const BODY: &str = "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"seq\":2,";
-    const REFUSED: &str = "HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n";
-    let ask = ("\"membership-mode\":\"push\"", "\"membership-mode\":\"ask\"");
-    // What becomes of the first calls, and how many, where lists are pushed or asked for.
+fn a_list_change_is_applied_in_time_after_any_failed_request() {
+    const HEAD_ONLY: &str = "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n";
+    const PARTIAL_BODY: &str = "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"seq\":2,";
+    const REFUSAL_RESPONSE: &str = "HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n";
+    let pull_mode = ("\"membership-mode\":\"push\"", "\"membership-mode\":\"ask\"");
+    // What the first requests get, how many get it, and whether lists are pulled rather than pushed.
     let cases = [
-        ("silent from the first byte", "", 1, false),
-        ("silent after its head", HEAD, 1, false),
-        ("silent in its body", BODY, 1, false),
-        ("silent in its body, twice", BODY, 2, false),
-        ("refused, twice", REFUSED, 2, false),
-        ("refused where it is asked for", REFUSED, 1, true),
+        ("no response", "", 1, false),
+        ("no body after the head", HEAD_ONLY, 1, false),
+        ("a body that stalls", PARTIAL_BODY, 1, false),
+        ("a body that stalls, twice", PARTIAL_BODY, 2, false),
+        ("refused, twice", REFUSAL_RESPONSE, 2, false),
+        ("refused in pull mode", REFUSAL_RESPONSE, 1, true),
     ];
-    for (name, says, times, asked) in cases {
-        let endpoint = Endpoint::start(|_, _| Deed::Say(OK));
-        let known = list(1, true, &[host("a", endpoint.at, "plain", "SERVING")]);
-        let drains = list(2, false, &[host("a", endpoint.at, "plain", "DRAINING")]);
-        // Indented and in chunks: lists may come so.
-        let drains = drains.replace(",\"", ",\n  \"");
-        let told = format!(
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{drains}\r\n0\r\n\r\n",
-            drains.len()
+    for (name, response, failures, pulled) in cases {
+        let endpoint = Endpoint::start(|_, _| Action::Respond(OK_RESPONSE));
+        let initial_list =
+            endpoint_list(1, true, &[endpoint_entry("a", endpoint.address, "plain", "SERVING")]);
+        let draining_list =
+            endpoint_list(2, false, &[endpoint_entry("a", endpoint.address, "plain", "DRAINING")]);
+        // Indented and with a chunked transfer coding, which the platform may use.
+        let draining_list = draining_list.replace(",\"", ",\n  \"");
+        let update = format!(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{draining_list}\r\n0\r\n\r\n",
+            draining_list.len()
         );
-        let agent = Endpoint::start(move |count, _| match count {
-            n if n < times && says.is_empty() => Deed::Silence,
-            n if n < times => Deed::Say(says),
-            n if n == times => Deed::Tell(told.clone()),
-            _ => Deed::Silence,
+        let discovery = Endpoint::start(move |call_number, _| match call_number {
+            number if number < failures && response.is_empty() => Action::NoResponse,
+            number if number < failures => Action::Respond(response),
+            number if number == failures => Action::RespondOwned(update.clone()),
+            _ => Action::NoResponse,
         });
-        let platform = Platform::start(known.clone(), 0);
-        let (from, to) = (platform.at.to_string(), agent.at.to_string());
-        let changes = [(from.as_str(), to.as_str()), ask];
-        let changes = &changes[..1 + usize::from(asked)];
-        let program = Program::start(&platform, &known, changes);
-        let first = agent.call().at;
-        program.logged("code=\"listed\" seq=2", 1);
-        let took = first.elapsed();
-        assert!(took < ms(5500), "{name}: {took:?}");
-        assert_eq!(program.hand_in("idem", "late", 300, b""), 202);
-        assert!(endpoint.calls.recv_timeout(ms(600)).is_err(), "{name}: a drain was not kept");
+        let platform = Platform::start(initial_list.clone(), 0);
+        let (from, to) = (platform.address.to_string(), discovery.address.to_string());
+        let changes = [(from.as_str(), to.as_str()), pull_mode];
+        let changes = &changes[..1 + usize::from(pulled)];
+        let program = Program::start(&platform, &initial_list, changes);
+        let first_request_at = discovery.next_call().received_at;
+        program.wait_for_log("code=\"listed\" seq=2", 1);
+        let elapsed = first_request_at.elapsed();
+        assert!(elapsed < millis(5500), "{name}: {elapsed:?}");
+        assert_eq!(program.submit_webhook("idem", "late", 300, b""), 202);
+        assert!(endpoint.calls.recv_timeout(millis(600)).is_err(), "{name}: a draining endpoint was called");
     }
 }
 
 #[test]
-fn connections_to_an_endpoint_that_moved_or_left_close_at_once() {
-    for what in ["moved", "deleted", "left out of a whole list"] {
-        println!("{what}");
-        let (endpoint, platform, program) = with_manual(&[]);
-        let mut ledger = Ledger::default();
-        // The module keeps a connection only from the second call on.
-        ledger.taken(&program, "idem", "first", 8000);
-        drop(ledger.delivered(&endpoint, "first"));
-        program.logged("outcome=Delivered", 1);
-        ledger.taken(&program, "idem", "second", 8000);
-        let mut line = ledger.delivered(&endpoint, "second");
-        program.logged("outcome=Delivered", 2);
-        let at = line.local_addr().unwrap();
-        platform.tell(match what {
-            "moved" => list(2, false, &[host("a", address(), "plain", "SERVING")]),
-            "deleted" => list(2, false, &[host("a", at, "plain", "DELETED")]),
-            _ => list(2, true, &[host("b", address(), "plain", "SERVING")]),
+fn connections_to_a_moved_or_removed_endpoint_close_at_once() {
+    for change in ["moved", "deleted", "missing from a complete list"] {
+        println!("{change}");
+        let (endpoint, platform, program) = with_manual_endpoint(&[]);
+        let mut checker = DeliveryChecker::default();
+        // A connection is kept only from the second call on.
+        checker.submit(&program, "idem", "first", 8000);
+        drop(checker.deliver_next(&endpoint, "first"));
+        program.wait_for_log("outcome=Delivered", 1);
+        checker.submit(&program, "idem", "second", 8000);
+        let mut connection = checker.deliver_next(&endpoint, "second");
+        program.wait_for_log("outcome=Delivered", 2);
+        let address = connection.local_addr().unwrap();
+        platform.answer_watch(match change {
+            "moved" => endpoint_list(2, false, &[endpoint_entry("a", unique_address(), "plain", "SERVING")]),
+            "deleted" => endpoint_list(2, false, &[endpoint_entry("a", address, "plain", "DELETED")]),
+            _ => endpoint_list(2, true, &[endpoint_entry("b", unique_address(), "plain", "SERVING")]),
         });
-        // Left alone it would stay for 4.75 s.
-        line.set_read_timeout(Some(ms(2000))).unwrap();
-        assert!(matches!(line.read(&mut [0]), Ok(0)), "{what}");
+        // Otherwise it would stay open for 4.75 s.
+        connection.set_read_timeout(Some(millis(2000))).unwrap();
+        assert!(matches!(connection.read(&mut [0]), Ok(0)), "{change}");
     }
 }
--- a/crates/sender/tests/program/descriptors.rs
+++ b/crates/sender/tests/program/descriptors.rs
@@ -1,8 +1,10 @@
-//! Descriptors are short: what the program needs for itself is kept apart from what clients and endpoints may take.
+//! Tests the sender when file descriptors run short: it reserves those that it needs itself, so that
+//! clients and endpoints cannot take them.
 
 use crate::helpers::{
-    Deed, Endpoint, LONG, OK, Platform, Program, address, ends, hand_in, hand_in_for, hear, host, host_of,
-    list, say,
+    Action, Endpoint, OK_RESPONSE, Platform, Program, TEST_TIMEOUT, endpoint_entry, endpoint_entry_for,
+    endpoint_list, is_closed_cleanly, read_message, send_request, unique_address, webhook_request,
+    webhook_request_for,
 };
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,38 +13,40 @@
 use std::thread::{self, JoinHandle, sleep};
 use std::time::{Duration, Instant};
 
-/// What the system allows the program, and what its configuration tells it.
-const ALLOWED: usize = 64;
-/// Of them, not in use while the list, notices, the journal's new file and the configuration need none.
-const SPARE: usize = 9;
-/// Destinations with an endpoint each: more than it may keep connections to.
+/// The limit of open descriptors, as set by the system and as configured.
+const MAX_DESCRIPTORS: usize = 64;
+/// The number of these that stay free while the list, notices, a new journal file and the configuration
+/// need none.
+const RESERVED_DESCRIPTORS: usize = 9;
+/// The number of destinations, each with one endpoint: more than the program may keep connections to.
 const DESTINATIONS: u64 = 40;
-/// Clients that each keep a connection as long as they may, and come again.
-const CROWD: usize = 60;
+/// The number of clients that each keep a connection as long as they may and then reconnect.
+const CLIENTS: usize = 60;
 
-/// Clients that are served once, rest, and connect again as soon as they are asked to go.
-struct Crowd {
+/// Clients that send one request each, stay idle, and reconnect as soon as the program closes their
+/// connection.
+struct ReconnectingClients {
     stop: Arc<AtomicBool>,
-    served: Arc<AtomicUsize>,
+    response_count: Arc<AtomicUsize>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Crowd {
-    fn start(listen: SocketAddr) -> Self {
-        let (stop, served) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
-        let (stopped, count) = (stop.clone(), served.clone());
+impl ReconnectingClients {
+    fn start(listen_address: SocketAddr) -> Self {
+        let (stop, response_count) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+        let (stop_requested, answered) = (stop.clone(), response_count.clone());
         let thread = thread::spawn(move || {
             let mut clients: Vec<TcpStream> = Vec::new();
-            // Bounded, whatever becomes of the test.
-            let since = Instant::now();
-            while !stopped.load(Ordering::Relaxed) && since.elapsed() < 2 * LONG {
+            // The thread ends even if the test panics.
+            let started_at = Instant::now();
+            while !stop_requested.load(Ordering::Relaxed) && started_at.elapsed() < 2 * TEST_TIMEOUT {
                 clients.retain_mut(|client| match client.read(&mut [0; 256]) {
                     Ok(0) => false,
-                    Ok(_) => count.fetch_add(1, Ordering::Relaxed) < usize::MAX,
+                    Ok(_) => answered.fetch_add(1, Ordering::Relaxed) < usize::MAX,
                     Err(e) => e.kind() == ErrorKind::WouldBlock,
                 });
-                while clients.len() < CROWD {
-                    let mut client = TcpStream::connect(listen).unwrap();
+                while clients.len() < CLIENTS {
+                    let mut client = TcpStream::connect(listen_address).unwrap();
                     client.write_all(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
                     client.set_nonblocking(true).unwrap();
                     clients.push(client);
@@ -50,184 +54,200 @@
                 sleep(Duration::from_millis(10));
             }
         });
-        Crowd { stop, served, thread: Some(thread) }
+        ReconnectingClients { stop, response_count, thread: Some(thread) }
     }
 
-    /// Waits until so many were served.
-    fn wait(&self, served: usize) {
-        let since = Instant::now();
-        while self.served.load(Ordering::Relaxed) < served {
+    /// Waits until so many requests were answered.
+    fn wait_for_responses(&self, response_count: usize) {
+        let started_at = Instant::now();
+        while self.response_count.load(Ordering::Relaxed) < response_count {
             assert!(
-                since.elapsed() < LONG,
-                "{} of the crowd were served",
-                self.served.load(Ordering::Relaxed)
+                started_at.elapsed() < TEST_TIMEOUT,
+                "{} requests were answered",
+                self.response_count.load(Ordering::Relaxed)
             );
             sleep(Duration::from_millis(5));
         }
     }
 }
 
-impl Drop for Crowd {
+impl Drop for ReconnectingClients {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         let _ = self.thread.take().map(JoinHandle::join);
     }
 }
 
-/// Lines of the log that say that something had no descriptor.
-fn shortages(program: &Program) -> Vec<String> {
+/// The log lines that report a lack of descriptors.
+fn descriptor_errors(program: &Program) -> Vec<String> {
     let codes = ["accept", "connect", "journal-write", "config-kept"].map(|code| format!("code=\"{code}\""));
     let log = program.log();
-    let short = log.lines().filter(|line| codes.iter().any(|code| line.contains(code)));
-    short.map(str::to_owned).collect()
+    let errors = log.lines().filter(|line| codes.iter().any(|code| line.contains(code)));
+    errors.map(str::to_owned).collect()
 }
 
 #[test]
-fn list_notices_journal_and_configuration_have_theirs_while_clients_and_endpoints_take_all_they_may() {
-    let endpoint = Endpoint::start(|_, _| Deed::Say(OK));
-    // The last destination takes no calls.
-    let hosts: Vec<String> = (1..=DESTINATIONS + 1)
-        .map(|dest| {
-            let health = if dest > DESTINATIONS { "DRAINING" } else { "SERVING" };
-            host_of(dest, &format!("e{dest}"), endpoint.at, "plain", health)
+fn list_notices_journal_and_configuration_keep_their_descriptors_when_all_others_are_used() {
+    let endpoint = Endpoint::start(|_, _| Action::Respond(OK_RESPONSE));
+    // The endpoint of the last destination accepts no calls.
+    let entries: Vec<String> = (1..=DESTINATIONS + 1)
+        .map(|destination| {
+            let health = if destination > DESTINATIONS { "DRAINING" } else { "SERVING" };
+            endpoint_entry_for(destination, &format!("e{destination}"), endpoint.address, "plain", health)
         })
         .collect();
-    // The first discovery cannot be reached: neither list nor notices have a connection until it moves.
-    let (known, nowhere) = (list(1, true, &hosts), address().to_string());
-    let platform = Platform::start(list(2, true, &hosts), 0);
-    let somewhere = platform.at.to_string();
+    // The discovery address in the first configuration cannot be reached: neither list nor notices have a
+    // connection until it is changed.
+    let (initial_list, unreachable_address) =
+        (endpoint_list(1, true, &entries), unique_address().to_string());
+    let platform = Platform::start(endpoint_list(2, true, &entries), 0);
+    let platform_address = platform.address.to_string();
     let changes = [
-        (somewhere.as_str(), nowhere.as_str()),
+        (platform_address.as_str(), unreachable_address.as_str()),
         ("\"sockets\":256", "\"sockets\":64"),
-        // So little that the journal is written anew again and again.
+        // So little that the journal is compacted again and again.
         ("\"disk_mb\":3", "\"disk_mb\":0.3"),
-        // An endpoint's connection stays as long as the test.
+        // Connections to endpoints are kept until the end of the test.
         ("\"conn-idle-ms\":5000.0", "\"conn-idle-ms\":60000.0"),
     ];
-    let mut program = Program::start(&platform, &known, &changes);
-    std::fs::write(program.folder.join("descriptors"), ALLOWED.to_string()).unwrap();
-    program.restart();
+    let mut program = Program::start(&platform, &initial_list, &changes);
+    std::fs::write(program.folder.join("descriptors"), MAX_DESCRIPTORS.to_string()).unwrap();
+    program.kill_and_restart();
 
-    let deliver = |id: &str, dest: u64, body: &[u8]| {
-        let answer = say(program.listen, &hand_in_for(dest, "idem", id, 8000, body));
-        assert_eq!(answer.expect(id).status(), 202, "{id}: {:?}", shortages(&program));
-        assert_eq!(endpoint.call().id(), id);
+    let deliver = |id: &str, destination: u64, body: &[u8]| {
+        let response =
+            send_request(program.listen_address, &webhook_request_for(destination, "idem", id, 8000, body));
+        assert_eq!(response.expect(id).status(), 202, "{id}: {:?}", descriptor_errors(&program));
+        assert_eq!(endpoint.next_call().id(), id);
     };
-    // Connections to endpoints up to the last: one is kept from the second call on.
-    for (round, dest) in (1..=DESTINATIONS).flat_map(|dest| [("first", dest), ("second", dest)]) {
-        deliver(&format!("{round}-{dest}"), dest, b"");
+    // Opens connections to endpoints up to the limit: a connection is kept from the second call on.
+    for (round, destination) in
+        (1..=DESTINATIONS).flat_map(|destination| [("first", destination), ("second", destination)])
+    {
+        deliver(&format!("{round}-{destination}"), destination, b"");
     }
-    program.logged("peer=\"endpoint\" code=\"no-room\"", 1);
-    let crowd = Crowd::start(program.listen);
-    crowd.wait(3 * CROWD);
-    assert_eq!(shortages(&program), [""; 0]);
-    program.logged("peer=\"client\" code=\"no-room\"", CROWD);
-    // Both have taken all they may: no more is left than what is kept apart and not in use yet.
-    let since = Instant::now();
-    while program.descriptors() < ALLOWED - SPARE {
-        assert!(since.elapsed() < LONG, "{} descriptors", program.descriptors());
+    program.wait_for_log("peer=\"endpoint\" code=\"no-room\"", 1);
+    let clients = ReconnectingClients::start(program.listen_address);
+    clients.wait_for_responses(3 * CLIENTS);
+    assert_eq!(descriptor_errors(&program), [""; 0]);
+    program.wait_for_log("peer=\"client\" code=\"no-room\"", CLIENTS);
+    // Clients and endpoints have taken all they may: only the reserved descriptors are left.
+    let started_at = Instant::now();
+    while program.descriptor_count() < MAX_DESCRIPTORS - RESERVED_DESCRIPTORS {
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "{} descriptors", program.descriptor_count());
     }
 
-    // The journal's new file, and further connections to endpoints.
-    for n in 0..100 {
-        deliver(&format!("more-{n}"), 1 + n % DESTINATIONS, &[b'x'; 9000]);
+    // Needs descriptors for a new journal file and for further connections to endpoints.
+    for number in 0..100 {
+        deliver(&format!("more-{number}"), 1 + number % DESTINATIONS, &[b'x'; 9000]);
     }
-    // A notice is owed for one that nobody takes.
-    let lost = hand_in_for(DESTINATIONS + 1, "once", "lost", 300, b"");
-    assert_eq!(say(program.listen, &lost).unwrap().status(), 202);
-    // The configuration, and with it a list and a way for notices.
-    program.reconfigure(&nowhere, &somewhere);
-    program.logged("code=\"config-read\"", 1);
-    program.logged("code=\"listed\" seq=2", 1);
-    assert!(platform.notice().contains("\"lost\""));
-    crowd.wait(6 * CROWD);
-    assert_eq!(shortages(&program), [""; 0]);
-    assert!(program.descriptors() <= ALLOWED);
+    // A webhook that no endpoint takes needs a connection for its notice.
+    let undeliverable = webhook_request_for(DESTINATIONS + 1, "once", "lost", 300, b"");
+    assert_eq!(send_request(program.listen_address, &undeliverable).unwrap().status(), 202);
+    // Needs descriptors for the configuration file, and then for requests for the list and for notices.
+    program.edit_and_reload_config(&unreachable_address, &platform_address);
+    program.wait_for_log("code=\"config-read\"", 1);
+    program.wait_for_log("code=\"listed\" seq=2", 1);
+    assert!(platform.next_notice().contains("\"lost\""));
+    clients.wait_for_responses(6 * CLIENTS);
+    assert_eq!(descriptor_errors(&program), [""; 0]);
+    assert!(program.descriptor_count() <= MAX_DESCRIPTORS);
 }
 
 #[test]
-fn without_a_descriptor_nothing_is_sent_held_against_an_endpoint_or_lost() {
-    let endpoint = Endpoint::start(|_, _| Deed::Say(OK));
-    let known = list(1, true, &[host_of(1, "a", endpoint.at, "plain", "SERVING")]);
-    let platform = Platform::start(known.clone(), 0);
-    let program = Program::start(&platform, &known, &[]);
+fn without_free_descriptors_webhooks_wait_and_no_endpoint_is_blamed() {
+    let endpoint = Endpoint::start(|_, _| Action::Respond(OK_RESPONSE));
+    let initial_list =
+        endpoint_list(1, true, &[endpoint_entry_for(1, "a", endpoint.address, "plain", "SERVING")]);
+    let platform = Platform::start(initial_list.clone(), 0);
+    let program = Program::start(&platform, &initial_list, &[]);
     let mut client = program.connect();
-    client.write_all(&hand_in_for(2, "once", "nowhere", 8000, b"")).unwrap();
-    assert_eq!(hear(&mut client).unwrap().status(), 429);
-    program.allow_descriptors(false);
-    client.write_all(&hand_in_for(1, "once", "held", 8000, b"")).unwrap();
-    assert_eq!(hear(&mut client).unwrap().status(), 202);
-    program.logged("code=\"connect\"", 1);
-    let mut waits = program.connect();
-    waits.write_all(&hand_in_for(1, "once", "waits", 8000, b"")).unwrap();
-    program.logged("code=\"accept\"", 1);
-    // Those who come meanwhile lead to no further tries, and lines in the log, than one each 0.1 s.
-    let since = Instant::now();
-    let crowd: Vec<TcpStream> = (0..30)
+    client.write_all(&webhook_request_for(2, "once", "nowhere", 8000, b"")).unwrap();
+    assert_eq!(read_message(&mut client).unwrap().status(), 429);
+    program.allow_new_descriptors(false);
+    client.write_all(&webhook_request_for(1, "once", "held", 8000, b"")).unwrap();
+    assert_eq!(read_message(&mut client).unwrap().status(), 202);
+    program.wait_for_log("code=\"connect\"", 1);
+    let mut waiting_client = program.connect();
+    waiting_client.write_all(&webhook_request_for(1, "once", "waits", 8000, b"")).unwrap();
+    program.wait_for_log("code=\"accept\"", 1);
+    // Further clients cause at most one attempt to accept, and one log line, per 0.1 s.
+    let started_at = Instant::now();
+    let further_clients: Vec<TcpStream> = (0..30)
         .map(|_| {
             sleep(Duration::from_millis(10));
             program.connect()
         })
         .collect();
-    let tries = program.log().matches("code=\"accept\"").count();
-    assert!(tries <= 2 + since.elapsed().as_millis() as usize / 100, "{tries} in {:?}", since.elapsed());
+    let accept_errors = program.log().matches("code=\"accept\"").count();
+    assert!(
+        accept_errors <= 2 + started_at.elapsed().as_millis() as usize / 100,
+        "{accept_errors} in {:?}",
+        started_at.elapsed()
+    );
     assert!(endpoint.calls.try_recv().is_err());
-    drop(crowd);
+    drop(further_clients);
 
-    program.allow_descriptors(true);
-    assert_eq!(hear(&mut waits).unwrap().status(), 202);
-    let mut ids = [endpoint.call().id(), endpoint.call().id()];
+    program.allow_new_descriptors(true);
+    assert_eq!(read_message(&mut waiting_client).unwrap().status(), 202);
+    let mut ids = [endpoint.next_call().id(), endpoint.next_call().id()];
     ids.sort();
     assert_eq!(ids, ["held", "waits"]);
-    program.logged("outcome=Delivered", 2);
+    program.wait_for_log("outcome=Delivered", 2);
     assert!(!program.log().contains("outcome=ConnectFailed"));
 }
 
 #[test]
-fn fewer_descriptors_than_were_told_are_shared_out_as_well() {
-    let endpoint = Endpoint::start(|_, _| Deed::Say(OK));
-    let known = list(1, true, &[host("a", endpoint.at, "plain", "SERVING")]);
-    let platform = Platform::start(known.clone(), 0);
-    let mut program = Program::start(&platform, &known, &[]);
+fn a_system_limit_below_the_configured_one_is_respected() {
+    let endpoint = Endpoint::start(|_, _| Action::Respond(OK_RESPONSE));
+    let initial_list = endpoint_list(1, true, &[endpoint_entry("a", endpoint.address, "plain", "SERVING")]);
+    let platform = Platform::start(initial_list.clone(), 0);
+    let mut program = Program::start(&platform, &initial_list, &[]);
     std::fs::write(program.folder.join("descriptors"), "40").unwrap();
-    program.restart();
-    let mut idle = Vec::new();
-    for n in 0..60 {
+    program.kill_and_restart();
+    let mut idle_clients = Vec::new();
+    for number in 0..60 {
         let mut client = program.connect();
-        client.write_all(&hand_in("idem", &format!("w{n}"), 8000, b"")).unwrap();
-        assert_eq!(hear(&mut client).unwrap().status(), 202, "{n}");
-        assert_eq!(endpoint.call().id(), format!("w{n}"));
-        idle.push(client);
+        client.write_all(&webhook_request("idem", &format!("w{number}"), 8000, b"")).unwrap();
+        assert_eq!(read_message(&mut client).unwrap().status(), 202, "{number}");
+        assert_eq!(endpoint.next_call().id(), format!("w{number}"));
+        idle_clients.push(client);
     }
     let log = std::fs::read_to_string(program.folder.join("log")).unwrap();
     assert!(!log.contains("code=\"accept\"") && !log.contains("code=\"connect\""), "{log}");
 }
 
 #[test]
-fn idle_clients_that_fill_the_descriptors_leave_the_others_theirs() {
-    let few = ("\"sockets\":256", "\"sockets\":64");
-    let (endpoint, silent) = (Endpoint::start(|_, _| Deed::Say(OK)), Endpoint::start(|_, _| Deed::Silence));
-    let known = list(1, true, &[host("a", endpoint.at, "plain", "SERVING")]);
-    let platform = Platform::start(list(2, true, &[host("a", endpoint.at, "plain", "SERVING")]), 0);
-    let (talks, says_nothing) = (platform.at.to_string(), silent.at.to_string());
-    let program = Program::start(&platform, &known, &[few, (&talks, &says_nothing)]);
-    // They have each been served, and rest until they are asked to go.
-    let mut idle = Vec::new();
-    for n in 0..150 {
+fn idle_clients_that_use_all_their_descriptors_leave_the_reserved_ones_free() {
+    let fewer_descriptors = ("\"sockets\":256", "\"sockets\":64");
+    let (endpoint, silent_platform) =
+        (Endpoint::start(|_, _| Action::Respond(OK_RESPONSE)), Endpoint::start(|_, _| Action::NoResponse));
+    let initial_list = endpoint_list(1, true, &[endpoint_entry("a", endpoint.address, "plain", "SERVING")]);
+    let platform = Platform::start(
+        endpoint_list(2, true, &[endpoint_entry("a", endpoint.address, "plain", "SERVING")]),
+        0,
+    );
+    let (platform_address, silent_address) =
+        (platform.address.to_string(), silent_platform.address.to_string());
+    let program =
+        Program::start(&platform, &initial_list, &[fewer_descriptors, (&platform_address, &silent_address)]);
+    // Each has had a response and stays idle until its connection is closed.
+    let mut idle_clients = Vec::new();
+    for number in 0..150 {
         let mut client = program.connect();
-        client.write_all(&hand_in("idem", &format!("w{n}"), 8000, &[b'x'; 9000])).unwrap();
-        assert_eq!(hear(&mut client).unwrap().status(), 202, "{n}");
-        assert!(program.descriptors() <= 64, "{}", program.descriptors());
-        idle.push(client);
+        client.write_all(&webhook_request("idem", &format!("w{number}"), 8000, &[b'x'; 9000])).unwrap();
+        assert_eq!(read_message(&mut client).unwrap().status(), 202, "{number}");
+        assert!(program.descriptor_count() <= 64, "{}", program.descriptor_count());
+        idle_clients.push(client);
     }
     for _ in 0..150 {
-        endpoint.call();
+        endpoint.next_call();
     }
-    // The list, the journal's new file and the configuration had theirs.
-    assert!(silent.calls.try_iter().any(|c| c.head.starts_with("GET /v1/endpoints")));
+    // There were descriptors for the list, a new journal file and the configuration.
+    assert!(silent_platform.calls.try_iter().any(|call| call.head.starts_with("GET /v1/endpoints")));
     let log = std::fs::read_to_string(program.folder.join("log")).unwrap();
     assert!(!log.contains("journal-write") && !log.contains("code=\"accept\""), "{log}");
-    program.reconfigure(&says_nothing, &talks);
-    program.logged("code=\"listed\" seq=2", 1);
-    assert!(idle.into_iter().rev().take(3).all(ends));
+    program.edit_and_reload_config(&silent_address, &platform_address);
+    program.wait_for_log("code=\"listed\" seq=2", 1);
+    assert!(idle_clients.into_iter().rev().take(3).all(is_closed_cleanly));
 }
--- a/crates/sender/tests/program/main.rs
+++ b/crates/sender/tests/program/main.rs
@@ -1,4 +1,4 @@
-//! Starts the program and speaks to it over sockets.
+//! Runs the built sender and tests it from outside, over loopback sockets and through its files.
 
 mod backlog;
 mod clocks;
--- a/crates/sender/tests/program/writes.rs
+++ b/crates/sender/tests/program/writes.rs
@@ -1,117 +1,121 @@
-//! What is written in parts, or not as a whole before its connection ends.
+//! Tests calls and responses that are written in parts, or only partly before the connection is closed.
 
 use crate::helpers::{
-    LONG, Ledger, Manual, OK, Platform, Program, address, hand_in, hear, host, list, narrow_client, reset,
+    DeliveryChecker, ManualEndpoint, OK_RESPONSE, Platform, Program, TEST_TIMEOUT, connect_with_small_window,
+    endpoint_entry, endpoint_list, read_message, reset_connection, unique_address, webhook_request,
 };
 use std::io::{Read, Write};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_call_that_is_cut_before_its_last_byte_has_not_begun_and_goes_again() {
-    let at = address();
-    let endpoint = Manual::slow(at);
-    let known = list(1, true, &[host("a", at, "plain", "SERVING")]);
-    let platform = Platform::start(known.clone(), 0);
-    let program = Program::start(&platform, &known, &[]);
-    let mut ledger = Ledger::default();
-    // More than the system takes at once for a receiver that takes in so little.
-    assert_eq!(program.hand_in("once", "once-x", 8000, &[b'x'; 60_000]), 202);
-    ledger.took("once-x");
-    let mut line = endpoint.accept();
-    line.read_exact(&mut [0; 300]).unwrap();
-    program.logged("code=\"out\"", 1);
-    reset(line);
-    let mut line = endpoint.accept();
-    let heard = ledger.heard(&mut line);
-    assert_eq!((heard.id().as_str(), heard.body.len()), ("once-x", 60_000));
-    line.write_all(OK.as_bytes()).unwrap();
-    ledger.good("once-x");
-    ledger.check(&platform);
+fn an_at_most_once_call_that_was_not_fully_written_is_retried() {
+    let address = unique_address();
+    let endpoint = ManualEndpoint::start_with_small_window(address);
+    let initial_list = endpoint_list(1, true, &[endpoint_entry("a", address, "plain", "SERVING")]);
+    let platform = Platform::start(initial_list.clone(), 0);
+    let program = Program::start(&platform, &initial_list, &[]);
+    let mut checker = DeliveryChecker::default();
+    // More than the kernel buffers at once for an endpoint that takes in so little.
+    assert_eq!(program.submit_webhook("once", "once-x", 8000, &[b'x'; 60_000]), 202);
+    checker.add_accepted("once-x");
+    let mut connection = endpoint.accept();
+    connection.read_exact(&mut [0; 300]).unwrap();
+    program.wait_for_log("code=\"out\"", 1);
+    reset_connection(connection);
+    let mut connection = endpoint.accept();
+    let call = checker.read_call(&mut connection);
+    assert_eq!((call.id().as_str(), call.body.len()), ("once-x", 60_000));
+    connection.write_all(OK_RESPONSE.as_bytes()).unwrap();
+    checker.add_delivered("once-x");
+    checker.check_final_answers(&platform);
 }
 
-/// Guards against a repeat whose last bytes leave when its window is over: the window was looked at only as its first
-/// bytes went out.
+/// Guards against a retry that is completed after its repeat window: the window was checked only when the
+/// first bytes were sent.
 #[test]
-fn a_repeat_that_is_not_written_as_a_whole_in_its_window_is_given_up() {
-    let at = address();
-    let endpoint = Manual::slow(at);
-    let known = list(1, true, &[host("a", at, "plain", "SERVING")]);
-    let platform = Platform::start(known.clone(), 0);
+fn a_retry_that_is_not_fully_written_within_its_repeat_window_is_given_up() {
+    let address = unique_address();
+    let endpoint = ManualEndpoint::start_with_small_window(address);
+    let initial_list = endpoint_list(1, true, &[endpoint_entry("a", address, "plain", "SERVING")]);
+    let platform = Platform::start(initial_list.clone(), 0);
     let window = ("\"repeat-window-ms\":8000.0", "\"repeat-window-ms\":1000.0");
-    let program = Program::start(&platform, &known, &[window]);
-    assert_eq!(program.hand_in("token", "x", 8000, &[b'x'; 60_000]), 202);
-    let mut line = endpoint.accept();
-    assert_eq!(hear(&mut line).unwrap().id(), "x");
-    reset(line);
-    let mut line = endpoint.accept();
-    line.read_exact(&mut [0; 300]).unwrap();
+    let program = Program::start(&platform, &initial_list, &[window]);
+    assert_eq!(program.submit_webhook("token", "x", 8000, &[b'x'; 60_000]), 202);
+    let mut connection = endpoint.accept();
+    assert_eq!(read_message(&mut connection).unwrap().id(), "x");
+    reset_connection(connection);
+    let mut connection = endpoint.accept();
+    connection.read_exact(&mut [0; 300]).unwrap();
     sleep(Duration::from_millis(1200));
-    assert!(300 + hear_rest(&mut line) < 60_000, "the repeat came whole");
-    platform.notice();
+    assert!(300 + read_to_end_bytes(&mut connection) < 60_000, "the retry was fully received");
+    platform.next_notice();
 }
 
-/// Bytes that still come before the connection ends.
-fn hear_rest(line: &mut impl Read) -> usize {
+/// The number of bytes received until the connection ends.
+fn read_to_end_bytes(connection: &mut impl Read) -> usize {
     let mut rest = Vec::new();
-    // What came before a reset counts as well.
-    let _ = line.read_to_end(&mut rest);
+    // Bytes received before a reset count as well.
+    let _ = connection.read_to_end(&mut rest);
     rest.len()
 }
 
 #[test]
-fn a_webhook_whose_answer_was_not_written_as_a_whole_is_not_taken_on() {
-    const MANY: usize = 4000;
-    let known = list(1, true, &[host("a", address(), "plain", "DRAINING")]);
-    let platform = Platform::start(known.clone(), 0);
-    let program = Program::start(&platform, &known, &[("\"open-cap\":300", "\"open-cap\":5000")]);
-    // It sends request after request and takes no answer, until the system takes no more for it.
-    let mut client = narrow_client(program.listen);
+fn a_webhook_whose_response_was_not_fully_written_is_withdrawn() {
+    const REQUESTS: usize = 4000;
+    let initial_list = endpoint_list(1, true, &[endpoint_entry("a", unique_address(), "plain", "DRAINING")]);
+    let platform = Platform::start(initial_list.clone(), 0);
+    let program = Program::start(&platform, &initial_list, &[("\"open-cap\":300", "\"open-cap\":5000")]);
+    // The client sends requests without reading responses, until the kernel takes no more responses for it.
+    let mut client = connect_with_small_window(program.listen_address);
     client.set_nonblocking(true).unwrap();
-    let requests: Vec<u8> = (0..MANY).flat_map(|n| hand_in("idem", &format!("w{n}"), 60_000, b"")).collect();
-    let taken = || program.log().matches("code=\"taken\"").count();
-    let (since, mut sent, mut last) = (Instant::now(), 0, (0, Instant::now()));
+    let requests: Vec<u8> = (0..REQUESTS)
+        .flat_map(|number| webhook_request("idem", &format!("w{number}"), 60_000, b""))
+        .collect();
+    let accepted_count = || program.log().matches("code=\"taken\"").count();
+    let (started_at, mut sent, mut last) = (Instant::now(), 0, (0, Instant::now()));
     while last.1.elapsed() < Duration::from_millis(300) || last.0 == 0 {
-        assert!(since.elapsed() < LONG, "{} of {MANY} were taken on", last.0);
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "{} of {REQUESTS} were accepted", last.0);
         sent += client.write(&requests[sent..]).unwrap_or(0);
-        let now = taken();
-        if now > last.0 {
-            last = (now, Instant::now());
+        let accepted = accepted_count();
+        if accepted > last.0 {
+            last = (accepted, Instant::now());
         }
         sleep(Duration::from_millis(5));
     }
-    assert!(last.0 < MANY, "the system took all answers: nothing is shown");
-    reset(client);
-    program.logged("code=\"withdrawn\"", 1);
-    let (heard, unheard) = (format!("w{}", last.0 - 2), format!("w{}", last.0 - 1));
+    assert!(last.0 < REQUESTS, "the kernel buffered all responses: the test shows nothing");
+    reset_connection(client);
+    program.wait_for_log("code=\"withdrawn\"", 1);
+    let (sent_id, unsent_id) = (format!("w{}", last.0 - 2), format!("w{}", last.0 - 1));
     let log = program.log();
-    let withdrawn: Vec<&str> = log.lines().filter(|l| l.contains("code=\"withdrawn\"")).collect();
-    assert!(withdrawn.len() == 1 && withdrawn[0].contains(&format!("id=\"{unheard}\"")), "{withdrawn:?}");
-    // Handed in again, only the one whose answer cannot have come is new.
-    for (id, new) in [(heard, 0), (unheard, 1)] {
-        let before = taken();
-        assert_eq!(program.hand_in("idem", &id, 60_000, b""), 202);
-        assert_eq!(taken() - before, new, "{id}");
+    let withdrawn: Vec<&str> = log.lines().filter(|entry| entry.contains("code=\"withdrawn\"")).collect();
+    assert!(withdrawn.len() == 1 && withdrawn[0].contains(&format!("id=\"{unsent_id}\"")), "{withdrawn:?}");
+    // Only the webhook whose response cannot have been received is new when it is submitted again.
+    for (id, new_count) in [(sent_id, 0), (unsent_id, 1)] {
+        let before = accepted_count();
+        assert_eq!(program.submit_webhook("idem", &id, 60_000, b""), 202);
+        assert_eq!(accepted_count() - before, new_count, "{id}");
     }
 }
 
 #[test]
-fn an_answer_does_not_wait_until_the_one_before_has_arrived() {
+fn a_response_is_sent_before_the_previous_one_is_acknowledged() {
     const ROUNDS: usize = 50;
-    let known = list(1, true, &[]);
-    let platform = Platform::start(known.clone(), 0);
-    let program = Program::start(&platform, &known, &[]);
+    let initial_list = endpoint_list(1, true, &[]);
+    let platform = Platform::start(initial_list.clone(), 0);
+    let program = Program::start(&platform, &initial_list, &[]);
     let mut client = program.connect();
     client.set_nodelay(true).unwrap();
-    let two = b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n".repeat(2);
-    let since = Instant::now();
+    let two_requests = b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n".repeat(2);
+    let started_at = Instant::now();
     for _ in 0..ROUNDS {
-        client.write_all(&two).unwrap();
+        client.write_all(&two_requests).unwrap();
         for _ in 0..2 {
-            assert_eq!(hear(&mut client).unwrap().status(), 200);
+            assert_eq!(read_message(&mut client).unwrap().status(), 200);
         }
     }
-    // Held back until the acknowledgement, which the system delays by 40 ms, they would take twice as long.
-    let most = Duration::from_millis(20 * ROUNDS as u64);
-    assert!(since.elapsed() < most, "{:?}", since.elapsed());
+    // If a response were held back until the previous one is acknowledged, which the system delays by 40
+    // ms, this would take twice as long.
+    let limit = Duration::from_millis(20 * ROUNDS as u64);
+    assert!(started_at.elapsed() < limit, "{:?}", started_at.elapsed());
 }
