--- a/crates/emulator/src/baselines.rs
+++ b/crates/emulator/src/baselines.rs
@@ -2,8 +2,8 @@
 //! backoff. They keep the ledger (what may have run is not sent where that could do harm), heed waits, and know
 //! nothing of circuits, windows, shares of limits or cold destinations.
 
-use crate::chance::{Generator, generator};
-use crate::policy::{Policy, Start};
+use crate::policy::{Policy, SenderStart};
+use crate::random::{Generator, generator};
 use crate::spec::{Effect, World};
 use rand::RngExt;
 use scalebarrow::{ActionSink, ListUpdate, ListedEndpoint, Outcome};
@@ -20,13 +20,13 @@
 }
 
 /// Names of the policies that a file or a command line may ask for.
-pub const NAMES: [&str; 6] =
+pub const POLICY_NAMES: [&str; 6] =
     ["module", "random", "round-robin", "least-outstanding", "two-choices", "straight"];
 
 /// Makes the policy of that name.
-pub fn named(name: &str) -> Option<fn(Start) -> Box<dyn Policy>> {
+pub fn factory_by_name(name: &str) -> Option<fn(SenderStart) -> Box<dyn Policy>> {
     Some(match name {
-        "module" => crate::policy::module,
+        "module" => crate::policy::decision_module,
         "random" => |s| Baseline::open(s, Choice::Random),
         "round-robin" => |s| Baseline::open(s, Choice::RoundRobin),
         "least-outstanding" => |s| Baseline::open(s, Choice::LeastOutstanding),
@@ -64,11 +64,11 @@
 }
 
 impl Baseline {
-    pub fn open(start: Start, choice: Choice) -> Box<dyn Policy> {
+    pub fn open(start: SenderStart, choice: Choice) -> Box<dyn Policy> {
         let chance = generator(start.seed, "baseline");
         let (dests, turns, held) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         // Only its settings; the troubles of the day are none of its business.
-        let world = World { troubles: Vec::new(), ..start.world.clone() };
+        let world = World { faults: Vec::new(), ..start.world.clone() };
         Box::new(Baseline { choice, world, chance, dests, turns, held })
     }
 
@@ -138,7 +138,9 @@
 }
 
 impl Policy for Baseline {
-    fn list(&mut self, _now: f64, mode: ListUpdate, entries: &[ListedEndpoint], out: &mut dyn ActionSink) {
+    fn update_list(
+        &mut self, _now: f64, mode: ListUpdate, entries: &[ListedEndpoint], out: &mut dyn ActionSink,
+    ) {
         match mode {
             ListUpdate::Refused => return out.schedule_wake(0.5, 0),
             ListUpdate::Remembered if self.world.list.ask => out.watch_list(true),
@@ -157,7 +159,7 @@
         }
     }
 
-    fn webhook(
+    fn accept(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, _key: Option<&str>,
         _customer: Option<&str>, left: f64, out: &mut dyn ActionSink,
     ) {
@@ -166,7 +168,7 @@
         self.try_send(now, id, out);
     }
 
-    fn resumed(
+    fn resume(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, _key: Option<&str>,
         _customer: Option<&str>, left: f64, tries: u32, ran: Option<(&str, f64)>, out: &mut dyn ActionSink,
     ) {
@@ -176,9 +178,9 @@
         self.try_send(now, id, out);
     }
 
-    fn closing(&mut self, _now: f64, _by: f64, _out: &mut dyn ActionSink) {}
+    fn begin_shutdown(&mut self, _now: f64, _by: f64, _out: &mut dyn ActionSink) {}
 
-    fn outcome(
+    fn attempt_ended(
         &mut self, now: f64, id: u64, ep: &str, outcome: Outcome, took: f64, ended: bool,
         _report: Option<(f64, f64)>, out: &mut dyn ActionSink,
     ) {
@@ -215,16 +217,16 @@
         self.later(now, id, at, ends, out);
     }
 
-    fn told_wait(&mut self, now: f64, ep: &str, wait: f64, _out: &mut dyn ActionSink) {
+    fn wait_requested(&mut self, now: f64, ep: &str, wait: f64, _out: &mut dyn ActionSink) {
         let all = self.dests.values_mut().find(|rs| rs.iter().any(|r| r.ep == ep));
         all.into_iter().flatten().for_each(|r| r.waits = r.waits.max(now + wait + 0.001));
     }
 
-    fn withdrawn(&mut self, _now: f64, id: u64, _out: &mut dyn ActionSink) {
+    fn withdraw(&mut self, _now: f64, id: u64, _out: &mut dyn ActionSink) {
         self.held.remove(&id);
     }
 
-    fn woken(&mut self, now: f64, handle: u64, out: &mut dyn ActionSink) {
+    fn wake(&mut self, now: f64, handle: u64, out: &mut dyn ActionSink) {
         if handle == 0 { out.watch_list(true) } else { self.try_send(now, handle, out) }
     }
 }
@@ -237,12 +239,14 @@
 }
 
 impl Policy for Straight {
-    fn list(&mut self, _now: f64, _mode: ListUpdate, entries: &[ListedEndpoint], _out: &mut dyn ActionSink) {
+    fn update_list(
+        &mut self, _now: f64, _mode: ListUpdate, entries: &[ListedEndpoint], _out: &mut dyn ActionSink,
+    ) {
         for e in entries {
             self.first.entry(e.destination).or_insert_with(|| e.endpoint.into());
         }
     }
-    fn webhook(
+    fn accept(
         &mut self, now: f64, id: u64, _evt: &str, dest: u64, _key: Option<&str>, _customer: Option<&str>,
         left: f64, out: &mut dyn ActionSink,
     ) {
@@ -251,14 +255,14 @@
             None => out.reject(id, 0.0),
         }
     }
-    fn resumed(
+    fn resume(
         &mut self, _now: f64, id: u64, _evt: &str, _dest: u64, _key: Option<&str>, _customer: Option<&str>,
         _left: f64, _tries: u32, _ran: Option<(&str, f64)>, out: &mut dyn ActionSink,
     ) {
         out.dead_letter(id);
     }
-    fn closing(&mut self, _now: f64, _by: f64, _out: &mut dyn ActionSink) {}
-    fn outcome(
+    fn begin_shutdown(&mut self, _now: f64, _by: f64, _out: &mut dyn ActionSink) {}
+    fn attempt_ended(
         &mut self, _now: f64, id: u64, _ep: &str, outcome: Outcome, _took: f64, ended: bool,
         _report: Option<(f64, f64)>, out: &mut dyn ActionSink,
     ) {
@@ -268,7 +272,7 @@
             _ => out.dead_letter(id),
         }
     }
-    fn told_wait(&mut self, _now: f64, _ep: &str, _wait: f64, _out: &mut dyn ActionSink) {}
-    fn withdrawn(&mut self, _now: f64, _id: u64, _out: &mut dyn ActionSink) {}
-    fn woken(&mut self, _now: f64, _handle: u64, _out: &mut dyn ActionSink) {}
+    fn wait_requested(&mut self, _now: f64, _ep: &str, _wait: f64, _out: &mut dyn ActionSink) {}
+    fn withdraw(&mut self, _now: f64, _id: u64, _out: &mut dyn ActionSink) {}
+    fn wake(&mut self, _now: f64, _handle: u64, _out: &mut dyn ActionSink) {}
 }
--- a/crates/emulator/src/events.rs
+++ b/crates/emulator/src/events.rs
@@ -34,7 +34,7 @@
 
 /// What happened. Numbers are those of the world: webhooks from 1, all others from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub enum What {
+pub enum LogEvent {
     Started {
         sender: u32,
     },
@@ -105,9 +105,10 @@
 
 /// A line of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Line {
+pub struct LogEntry {
     pub at: Nanos,
-    pub what: What,
+    #[serde(rename = "what")]
+    pub event: LogEvent,
 }
 
 /// A number that is the same for the same lines in the same order: XXH3 over their postcard encoding.
@@ -115,7 +116,7 @@
 pub struct Digest(Xxh3Default);
 
 impl Digest {
-    pub fn add(&mut self, line: &Line) {
+    pub fn add(&mut self, line: &LogEntry) {
         let mut room = [0_u8; 96];
         // No line is longer than 96 bytes: a number takes up ten at most.
         if let Ok(bytes) = postcard::to_slice(line, &mut room) {
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,8 +1,8 @@
 //! Destinations and their endpoints: how much they take, what they refuse, and how they are after an outage. No
 //! events here: each method is told the time and answers.
 
-use crate::chance::{Generator, Weighted, generator};
 use crate::queue::{Nanos, nanos, seconds};
+use crate::random::{Generator, Weighted, generator};
 use crate::spec::{LimitBy, Rules, World};
 use rand::RngExt;
 use std::collections::{BTreeMap, VecDeque};
@@ -108,11 +108,11 @@
         let d = &world.destinations;
         // Zipf's law: the n-th in order of traffic gets 1 / n^skew.
         let traffic = Weighted::new((0..d.count).map(|n| ((n + 1) as f64).powf(-d.skew)));
-        let kinds = Weighted::new(world.kinds.iter().map(|k| k.share));
+        let destination_kinds = Weighted::new(world.destination_kinds.iter().map(|k| k.share));
         let (mut destinations, mut endpoints) = (Vec::new(), Vec::new());
         for n in 0..d.count {
-            let kind = kinds.draw(&mut chance) as u16;
-            let k = &world.kinds[usize::from(kind)];
+            let kind = destination_kinds.draw(&mut chance) as u16;
+            let k = &world.destination_kinds[usize::from(kind)];
             let many = chance.random_range(d.endpoints.0..=d.endpoints.1) as u32;
             let first = endpoints.len() as u32;
             let wanted = world.clients.rate * traffic.share(n) * k.headroom;
@@ -262,6 +262,6 @@
 }
 
 /// Draws the seconds of work for a call of so many webhooks.
-pub fn work(k: &crate::spec::Kind, webhooks: usize, with: &mut Generator) -> f64 {
+pub fn work(k: &crate::spec::DestinationKind, webhooks: usize, with: &mut Generator) -> f64 {
     k.service.draw(with) * (1.0 + k.item_cost * (webhooks - 1) as f64)
 }
--- a/crates/emulator/src/measure.rs
+++ b/crates/emulator/src/measure.rs
@@ -49,10 +49,13 @@
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Window {
     pub at_s: f64,
-    pub asked: f64,
-    pub won: f64,
+    #[serde(rename = "asked")]
+    pub offered_value: f64,
+    #[serde(rename = "won")]
+    pub delivered_value: f64,
     /// Webhooks that all senders held when the span ended.
-    pub held: u64,
+    #[serde(rename = "held")]
+    pub queued: u64,
     /// Attempts that went out in the span.
     pub attempts: u64,
 }
@@ -61,9 +64,11 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Counts {
     pub messages: u64,
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub accepted: u64,
     /// Handed in while the sender was dead or full.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub refused: u64,
     pub delivered: u64,
     pub rejected: u64,
     pub dead_lettered: u64,
@@ -85,15 +90,16 @@
     pub inputs: u64,
     pub events: u64,
     /// Most webhooks that all senders held at once.
-    pub held_most: u64,
+    #[serde(rename = "held_most")]
+    pub peak_queued: u64,
 }
 
 pub struct Measures {
     pub counts: Counts,
     pub windows: Vec<Window>,
     window: Nanos,
-    pub asked: f64,
-    pub won: f64,
+    pub offered_value: f64,
+    pub delivered_value: f64,
     /// From when a webhook was first handed in until it was delivered, in microseconds.
     pub latency: Histogram<u64>,
     /// Calls at endpoints, waiting included; and webhooks at senders.
@@ -111,8 +117,8 @@
             counts: Counts::default(),
             windows: (0..many.max(1)).map(at).collect(),
             window: window.max(1),
-            asked: 0.0,
-            won: 0.0,
+            offered_value: 0.0,
+            delivered_value: 0.0,
             // 1 us to an hour, to three figures.
             latency: Histogram::new_with_bounds(1, 3_600_000_000, 3)
                 .unwrap_or_else(|_| Histogram::new(3).unwrap()),
@@ -129,13 +135,13 @@
     }
 
     pub fn asked(&mut self, at: Nanos, value: f64) {
-        self.asked += value;
-        self.at(at).asked += value;
+        self.offered_value += value;
+        self.at(at).offered_value += value;
     }
 
     pub fn won(&mut self, first_at: Nanos, now: Nanos, value: f64) {
-        self.won += value;
-        self.at(first_at).won += value;
+        self.delivered_value += value;
+        self.at(first_at).delivered_value += value;
         self.latency.saturating_record(((now - first_at) / 1_000).max(1));
     }
 }
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -6,84 +6,88 @@
 /// The inputs of a sender's decisions, as [`scalebarrow::Sender`] has them.
 #[allow(clippy::too_many_arguments)]
 pub trait Policy {
-    fn list(&mut self, now: f64, mode: ListUpdate, entries: &[ListedEndpoint], out: &mut dyn ActionSink);
-    fn webhook(
+    fn update_list(
+        &mut self, now: f64, mode: ListUpdate, entries: &[ListedEndpoint], out: &mut dyn ActionSink,
+    );
+    fn accept(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, key: Option<&str>, customer: Option<&str>,
         left: f64, out: &mut dyn ActionSink,
     );
-    fn resumed(
+    fn resume(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, key: Option<&str>, customer: Option<&str>,
         left: f64, tries: u32, ran: Option<(&str, f64)>, out: &mut dyn ActionSink,
     );
-    fn closing(&mut self, now: f64, by: f64, out: &mut dyn ActionSink);
+    fn begin_shutdown(&mut self, now: f64, by: f64, out: &mut dyn ActionSink);
     /// Whether an attempt still goes out now that its connection is up.
-    fn may_go(&self, _now: f64, _id: u64, _ep: &str) -> bool {
+    fn may_send(&self, _now: f64, _id: u64, _ep: &str) -> bool {
         true
     }
-    fn outcome(
+    fn attempt_ended(
         &mut self, now: f64, id: u64, ep: &str, outcome: Outcome, took: f64, ended: bool,
         report: Option<(f64, f64)>, out: &mut dyn ActionSink,
     );
-    fn told_wait(&mut self, now: f64, ep: &str, wait: f64, out: &mut dyn ActionSink);
-    fn withdrawn(&mut self, now: f64, id: u64, out: &mut dyn ActionSink);
-    fn woken(&mut self, now: f64, handle: u64, out: &mut dyn ActionSink);
+    fn wait_requested(&mut self, now: f64, ep: &str, wait: f64, out: &mut dyn ActionSink);
+    fn withdraw(&mut self, now: f64, id: u64, out: &mut dyn ActionSink);
+    fn wake(&mut self, now: f64, handle: u64, out: &mut dyn ActionSink);
 }
 
 impl Policy for Sender {
-    fn list(&mut self, now: f64, mode: ListUpdate, entries: &[ListedEndpoint], out: &mut dyn ActionSink) {
+    fn update_list(
+        &mut self, now: f64, mode: ListUpdate, entries: &[ListedEndpoint], out: &mut dyn ActionSink,
+    ) {
         Sender::update_list(self, now, mode, entries, out);
     }
-    fn webhook(
+    fn accept(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, key: Option<&str>, customer: Option<&str>,
         left: f64, out: &mut dyn ActionSink,
     ) {
         Sender::accept(self, now, id, event_type, dest, key, customer, left, out);
     }
-    fn resumed(
+    fn resume(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, key: Option<&str>, customer: Option<&str>,
         left: f64, tries: u32, ran: Option<(&str, f64)>, out: &mut dyn ActionSink,
     ) {
         Sender::resume(self, now, id, event_type, dest, key, customer, left, tries, ran, out);
     }
-    fn closing(&mut self, now: f64, by: f64, out: &mut dyn ActionSink) {
+    fn begin_shutdown(&mut self, now: f64, by: f64, out: &mut dyn ActionSink) {
         Sender::begin_shutdown(self, now, by, out);
     }
-    fn may_go(&self, now: f64, id: u64, ep: &str) -> bool {
+    fn may_send(&self, now: f64, id: u64, ep: &str) -> bool {
         Sender::may_send(self, now, id, ep)
     }
-    fn outcome(
+    fn attempt_ended(
         &mut self, now: f64, id: u64, ep: &str, outcome: Outcome, took: f64, ended: bool,
         report: Option<(f64, f64)>, out: &mut dyn ActionSink,
     ) {
         Sender::attempt_ended(self, now, id, ep, outcome, took, ended, report, out);
     }
-    fn told_wait(&mut self, now: f64, ep: &str, wait: f64, out: &mut dyn ActionSink) {
+    fn wait_requested(&mut self, now: f64, ep: &str, wait: f64, out: &mut dyn ActionSink) {
         Sender::wait_requested(self, now, ep, wait, out);
     }
-    fn withdrawn(&mut self, now: f64, id: u64, out: &mut dyn ActionSink) {
+    fn withdraw(&mut self, now: f64, id: u64, out: &mut dyn ActionSink) {
         Sender::withdraw(self, now, id, out);
     }
-    fn woken(&mut self, now: f64, handle: u64, out: &mut dyn ActionSink) {
+    fn wake(&mut self, now: f64, handle: u64, out: &mut dyn ActionSink) {
         Sender::wake(self, now, handle, out);
     }
 }
 
 /// What a policy is told when its sender starts.
 #[derive(Clone, Copy)]
-pub struct Start<'a> {
+pub struct SenderStart<'a> {
     pub now: f64,
     pub seed: u64,
-    pub number: usize,
+    pub sender_index: usize,
     pub world: &'a World,
 }
 
 /// Makes the policy of each sender, anew at every start.
-pub type Maker<'m> = dyn Fn(Start) -> Box<dyn Policy> + Sync + 'm;
+pub type PolicyFactory<'m> = dyn Fn(SenderStart) -> Box<dyn Policy> + Sync + 'm;
 
 /// The decision module, told the world's settings.
-pub fn module(start: Start) -> Box<dyn Policy> {
+pub fn decision_module(start: SenderStart) -> Box<dyn Policy> {
     let w = start.world;
-    let mut s = Sender::new(start.now, start.seed, start.number as u64, w.senders.count as u64);
+    let mut s = Sender::new(start.now, start.seed, start.sender_index as u64, w.senders.count as u64);
     for t in &w.event_types {
         s.set_event_type(&t.name, t.target_s, t.ttl_s, t.value, t.late, t.halves);
         let effect = match t.effect {
@@ -93,7 +97,7 @@
         };
         s.set_repeat_safety(&t.name, effect, t.known_s, t.by_all, t.ordered);
     }
-    for k in &w.kinds {
+    for k in &w.destination_kinds {
         s.set_destination_kind(&k.name, k.batch, k.apart);
     }
     for c in &w.customers {
--- a/crates/emulator/src/rules.rs
+++ b/crates/emulator/src/rules.rs
@@ -1,7 +1,7 @@
 //! The six rules, checked from the event log alone. Nothing here knows how a policy decides or how the world plays:
 //! it reads lines and the figures that the rules name.
 
-use crate::events::{Final, Line, Told, What};
+use crate::events::{Final, LogEntry, LogEvent, Told};
 use crate::fleet::Fleet;
 use crate::queue::{Nanos, nanos, seconds};
 use crate::spec::{Effect, World};
@@ -24,7 +24,7 @@
 
 /// A rule broken, with when and by what.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Breach {
+pub struct Violation {
     pub rule: Rule,
     pub at_s: f64,
     pub text: String,
@@ -83,7 +83,7 @@
     lines: BTreeMap<(u32, u64), VecDeque<u64>>,
     rests: BTreeMap<(u32, u64), (Nanos, u64)>,
     outages: BTreeMap<Scope, Outage>,
-    broken: Vec<Breach>,
+    violations: Vec<Violation>,
     more: u64,
 }
 
@@ -91,7 +91,7 @@
     pub fn new(world: &World, fleet: &Fleet) -> Self {
         let scope = |(e, ep): (usize, &crate::fleet::Endpoint)| {
             let kind = fleet.destinations[ep.dest as usize].kind;
-            (ep.dest, world.kinds[usize::from(kind)].apart.then_some(e as u32))
+            (ep.dest, world.destination_kinds[usize::from(kind)].apart.then_some(e as u32))
         };
         let kind = |t: &crate::spec::EventType| Type {
             effect: t.effect,
@@ -117,26 +117,26 @@
             lines: BTreeMap::new(),
             rests: BTreeMap::new(),
             outages: BTreeMap::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             more: 0,
         }
     }
 
     fn breaks(&mut self, rule: Rule, at: Nanos, text: String) {
         // A few of each rule say what is wrong; a policy that breaks one always would fill the memory.
-        if self.broken.iter().filter(|b| b.rule == rule).count() < 20 {
-            self.broken.push(Breach { rule, at_s: seconds(at), text });
+        if self.violations.iter().filter(|b| b.rule == rule).count() < 20 {
+            self.violations.push(Violation { rule, at_s: seconds(at), text });
         } else {
             self.more += 1;
         }
     }
 
-    pub fn see(&mut self, line: &Line) {
+    pub fn see(&mut self, line: &LogEntry) {
         let now = line.at;
-        match line.what {
-            What::Started { sender } => self.started[sender as usize] = Some(now),
-            What::Killed { sender } => self.killed(now, sender),
-            What::Taken { webhook, message, sender, event_type, key, ttl_at, .. } => {
+        match line.event {
+            LogEvent::Started { sender } => self.started[sender as usize] = Some(now),
+            LogEvent::Killed { sender } => self.killed(now, sender),
+            LogEvent::Taken { webhook, message, sender, event_type, key, ttl_at, .. } => {
                 debug_assert_eq!(self.kept.len() as u64 + 1, webhook);
                 let kept =
                     Kept { sender, message, event_type, key, ttl_at, out: None, ran: None, ended: false };
@@ -147,33 +147,33 @@
                     self.lines.entry((sender, key)).or_default().push_back(webhook);
                 }
             }
-            What::Attempt { webhook, sender, ep } => self.attempt(now, webhook, sender, ep),
-            What::Outcome { webhook, sender, ep, told, wait } => {
+            LogEvent::Attempt { webhook, sender, ep } => self.attempt(now, webhook, sender, ep),
+            LogEvent::Outcome { webhook, sender, ep, told, wait } => {
                 self.outcome(now, webhook, sender, ep, told);
                 if wait > 0 {
                     self.wait(now + wait, sender, ep);
                 }
             }
-            What::Wait { sender, ep, wait } => self.wait(now + wait, sender, ep),
-            What::Ran { webhook, ep, known } => self.ran(now, webhook, ep, known),
-            What::End { webhook, sender, end } => self.ends(now, webhook, sender, end),
-            What::Listed { sender, ep, ready: true } => {
+            LogEvent::Wait { sender, ep, wait } => self.wait(now + wait, sender, ep),
+            LogEvent::Ran { webhook, ep, known } => self.ran(now, webhook, ep, known),
+            LogEvent::End { webhook, sender, end } => self.ends(now, webhook, sender, end),
+            LogEvent::Listed { sender, ep, ready: true } => {
                 self.drained.remove(&(sender, ep));
             }
-            What::Listed { sender, ep, ready: false } => {
+            LogEvent::Listed { sender, ep, ready: false } => {
                 self.drained.entry((sender, ep)).or_insert(now);
             }
-            What::OutageBegan { ep } => {
+            LogEvent::OutageBegan { ep } => {
                 let o = self.outages.entry(self.scopes[ep as usize]).or_default();
                 o.began = if o.out == 0 { now } else { o.began };
                 o.out += 1;
             }
-            What::OutageEnded { ep } => {
+            LogEvent::OutageEnded { ep } => {
                 let o = self.outages.entry(self.scopes[ep as usize]).or_default();
                 o.out = o.out.saturating_sub(1);
                 o.back = Some(now);
             }
-            What::Call { sender, ep } => {
+            LogEvent::Call { sender, ep } => {
                 let (fall, warm) = (self.fall, self.warm);
                 let Some(o) = self.outages.get_mut(&self.scopes[ep as usize]) else { return };
                 if o.back.is_some_and(|b| now <= b + warm) {
@@ -183,7 +183,7 @@
                     }
                 }
             }
-            What::Fell { ep } => self.fell(now, ep),
+            LogEvent::Fell { ep } => self.fell(now, ep),
         }
     }
 
@@ -362,7 +362,7 @@
     }
 
     /// All rules broken, by time; what was never answered counts where its sender is up.
-    pub fn verdict(mut self, ended: Nanos) -> Vec<Breach> {
+    pub fn verdict(mut self, ended: Nanos) -> Vec<Violation> {
         for i in 0..self.kept.len() {
             let k = &self.kept[i];
             let up = self.started[k.sender as usize];
@@ -371,12 +371,12 @@
                 self.breaks(Rule::Lost, at, format!("webhook {} never got a final answer", i + 1));
             }
         }
-        self.broken.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
+        self.violations.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
         if self.more > 0 {
             let text = format!("{} further breaches are not listed", self.more);
-            let rule = self.broken.last().map_or(Rule::Lost, |b| b.rule);
-            self.broken.push(Breach { rule, at_s: seconds(ended), text });
+            let rule = self.violations.last().map_or(Rule::Lost, |b| b.rule);
+            self.violations.push(Violation { rule, at_s: seconds(ended), text });
         }
-        self.broken
+        self.violations
     }
 }
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -3,19 +3,19 @@
 mod calls;
 mod clients;
 mod endpoint_list;
+mod faults;
 mod senders;
-mod troubles;
 
-use crate::chance::{Generator, Weighted, generator};
-use crate::events::{Digest, Final, Line, Told, What as Log};
+use crate::events::{Digest, Final, LogEntry, LogEvent, Told};
 use crate::faults::Faults;
 use crate::fleet::{Fleet, Listed, work};
 use crate::host::{Act, Batch, Desk, Host};
 use crate::measure::{Counts, Little, Measures, Window};
-use crate::policy::{Maker, Policy, Start};
+use crate::policy::{Policy, PolicyFactory, SenderStart};
 use crate::queue::{Nanos, Queue, mix, nanos, seconds};
-use crate::rules::{Breach, Judge};
-use crate::spec::{Curve, Effect, Fault, What, World};
+use crate::random::{Generator, Weighted, generator};
+use crate::rules::{Judge, Violation};
+use crate::spec::{Curve, Effect, FaultKind, World, WorldError};
 use hdrhistogram::Histogram;
 use rand::RngExt;
 use scalebarrow::{ListUpdate, ListedEndpoint, Outcome};
@@ -159,9 +159,9 @@
     pub at_endpoints: Little,
     pub waited: Little,
     pub at_senders: Little,
-    pub broken: Vec<Breach>,
+    pub violations: Vec<Violation>,
     /// First lines that policies wrote.
-    pub lines: Vec<String>,
+    pub policy_messages: Vec<String>,
     pub ended_at_s: f64,
 }
 
@@ -184,8 +184,8 @@
 struct Run<'a> {
     world: &'a World,
     seed: u64,
-    maker: &'a Maker<'a>,
-    watch: &'a mut dyn FnMut(&Line),
+    maker: &'a PolicyFactory<'a>,
+    watch: &'a mut dyn FnMut(&LogEntry),
     queue: Queue<Event>,
     fleet: Fleet,
     faults: Faults,
@@ -208,11 +208,13 @@
     judge: Judge,
     digest: Digest,
     desk: Desk,
-    lines: Vec<String>,
+    policy_messages: Vec<String>,
 }
 
 /// Plays a day to its end. `watch` sees each line of the event log as it is written.
-pub fn run(world: &World, seed: u64, maker: &Maker, watch: &mut dyn FnMut(&Line)) -> Result<Report, Fault> {
+pub fn run(
+    world: &World, seed: u64, maker: &PolicyFactory, watch: &mut dyn FnMut(&LogEntry),
+) -> Result<Report, WorldError> {
     world.check()?;
     let fleet = Fleet::new(world, seed);
     let faults = Faults::new(world, &fleet, seed);
@@ -225,7 +227,7 @@
         Curve::Wave => 1.0 + world.clients.swing,
         Curve::Points => world.clients.points.iter().map(|p| p.1).fold(0.0, f64::max),
     };
-    let surges = world.troubles.iter().filter(|t| t.what == What::Surge).map(|t| t.size.max(1.0));
+    let surges = world.faults.iter().filter(|t| t.kind == FaultKind::Surge).map(|t| t.size.max(1.0));
     let clump = 1.0 - world.clients.clump_share * (1.0 - 1.0 / world.clients.clump_size.max(1) as f64);
     let judge = Judge::new(world, &fleet);
     let mut run = Run {
@@ -233,7 +235,7 @@
         seed,
         maker,
         watch,
-        queue: Queue::new(world.day.order, world.day.tick_us * 1_000),
+        queue: Queue::new(world.day.shuffle_seed, world.day.tick_us * 1_000),
         out: vec![false; fleet.endpoints.len()],
         desk: Desk { many: fleet.endpoints.len() as u32, ..Desk::default() },
         noticed_at: vec![0; hosts.len()],
@@ -261,7 +263,7 @@
         measures: Measures::new(length, nanos(world.day.window_s)),
         judge,
         digest: Digest::default(),
-        lines: Vec::new(),
+        policy_messages: Vec::new(),
     };
     run.play();
     Ok(run.report())
@@ -291,7 +293,7 @@
             instant = now;
             // A policy that asks again and again without time passing would never come to the next instant.
             if at_once > 10_000_000 {
-                self.lines.push(format!("{:.3}: no end of events at one instant", seconds(now)));
+                self.policy_messages.push(format!("{:.3}: no end of events at one instant", seconds(now)));
                 break;
             }
             self.happens(now, event);
@@ -304,27 +306,28 @@
 
     fn report(self) -> Report {
         let m = self.measures;
-        let worst = m.windows.iter().filter(|w| w.asked > 0.0).map(|w| w.won / w.asked);
+        let worst =
+            m.windows.iter().filter(|w| w.offered_value > 0.0).map(|w| w.delivered_value / w.offered_value);
         let ended = self.queue.now();
         Report {
             seed: self.seed,
             hash: self.digest.value(),
-            value: if m.asked > 0.0 { m.won / m.asked } else { 1.0 },
+            value: if m.offered_value > 0.0 { m.delivered_value / m.offered_value } else { 1.0 },
             worst_window: worst.fold(1.0, f64::min),
-            broken: self.judge.verdict(ended),
+            violations: self.judge.verdict(ended),
             counts: m.counts,
             windows: m.windows,
             latency: m.latency,
             at_endpoints: m.at_endpoints,
             waited: m.waited,
             at_senders: m.at_senders,
-            lines: self.lines,
+            policy_messages: self.policy_messages,
             ended_at_s: seconds(ended),
         }
     }
 
-    fn log(&mut self, what: Log) {
-        let line = Line { at: self.queue.now(), what };
+    fn log(&mut self, event: LogEvent) {
+        let line = LogEntry { at: self.queue.now(), event };
         self.digest.add(&line);
         self.judge.see(&line);
         (self.watch)(&line);
@@ -338,10 +341,10 @@
             Event::Withdraw { message } => self.withdraw(now, message),
             Event::Flush { sender } => self.flush(now, sender),
             Event::Wake { sender, life, handle } if self.lives(sender, life) => {
-                self.input(sender, |p, out| p.woken(seconds(now), handle, out));
+                self.input(sender, |p, out| p.wake(seconds(now), handle, out));
             }
             Event::Moot { sender, life, webhook, ep, no_slot } if self.lives(sender, life) => {
-                self.log(Log::Outcome { webhook, sender, ep, told: Told::Moot, wait: 0 });
+                self.log(LogEvent::Outcome { webhook, sender, ep, told: Told::Moot, wait: 0 });
                 let ended = self.hooks[webhook as usize - 1].ended;
                 self.outcome(now, sender, webhook, ep, Outcome::Moot(no_slot), 0.0, ended, None);
             }
@@ -362,8 +365,8 @@
                 self.outage(now, ep);
             }
             Event::Sample { window } => {
-                let held = self.hosts.iter().map(|h| h.open.len() as u64).sum();
-                self.measures.windows[window].held = held;
+                let queued = self.hosts.iter().map(|h| h.open.len() as u64).sum();
+                self.measures.windows[window].queued = queued;
             }
             Event::Wake { .. } | Event::Moot { .. } | Event::News { .. } | Event::Die { .. } => {}
         }
--- a/crates/emulator/src/run/calls.rs
+++ b/crates/emulator/src/run/calls.rs
@@ -9,7 +9,7 @@
             return;
         };
         let kind = self.fleet.destinations[self.fleet.endpoints[ep as usize].dest as usize].kind;
-        let batch = self.world.kinds[usize::from(kind)].batch;
+        let batch = self.world.destination_kinds[usize::from(kind)].batch;
         let host = &mut self.hosts[sender as usize];
         let out = host.calls.len() + host.outgoing.len();
         let joins = host.outgoing.iter_mut().find(|b| b.ep == ep && b.webhooks.len() < batch);
@@ -34,7 +34,7 @@
         }
         self.measures.counts.attempts += 1;
         self.measures.at(now).attempts += 1;
-        self.log(Log::Attempt { webhook, sender, ep });
+        self.log(LogEvent::Attempt { webhook, sender, ep });
     }
 
     pub(super) fn flush(&mut self, now: Nanos, sender: u32) {
@@ -56,7 +56,7 @@
             self.hooks[*webhook as usize - 1].call = Some(place);
         }
         self.measures.counts.calls += 1;
-        let p = self.world.net.resets + self.faults.sum(sender, ep, What::Resets);
+        let p = self.world.net.resets + self.faults.sum(sender, ep, FaultKind::Resets);
         let reset = if p > 0.0 && self.chance.net.random::<f64>() < p {
             1 + u8::from(self.chance.net.random::<bool>())
         } else {
@@ -77,17 +77,17 @@
         if let Some(since) = self.hosts[sender as usize].take_idle(ep) {
             self.calls[at].connected = true;
             let forgets =
-                self.faults.between(sender, ep, What::Forgets).any(|f| now >= since + nanos(f.size));
+                self.faults.between(sender, ep, FaultKind::Forgets).any(|f| now >= since + nanos(f.size));
             if forgets {
                 self.calls[at].gone = true;
             } else {
-                let reaches = self.way(now, sender, ep, What::StallOut);
+                let reaches = self.way(now, sender, ep, FaultKind::StallOut);
                 self.queue.put(reaches, Event::Reached { call: place });
             }
             return;
         }
-        let trip = self.way(now, sender, ep, What::StallOut) - now;
-        let back = self.way(now, sender, ep, What::StallBack) - now;
+        let trip = self.way(now, sender, ep, FaultKind::StallOut) - now;
+        let back = self.way(now, sender, ep, FaultKind::StallBack) - now;
         let fails = |q: &mut Queue<Event>, after| {
             q.put(
                 now + after,
@@ -95,13 +95,13 @@
             );
         };
         let patience = nanos(world.senders.connect_timeout_s);
-        if self.faults.met(sender, ep, What::Silent) {
+        if self.faults.met(sender, ep, FaultKind::Silent) {
             return fails(&mut self.queue, patience);
         }
         let refuses = self.fleet.endpoints[ep as usize].fallen
-            || self.faults.met(sender, ep, What::Down)
-            || self.faults.met(sender, ep, What::Leave);
-        let k = &world.kinds
+            || self.faults.met(sender, ep, FaultKind::Down)
+            || self.faults.met(sender, ep, FaultKind::Leave);
+        let k = &world.destination_kinds
             [usize::from(self.fleet.destinations[self.fleet.endpoints[ep as usize].dest as usize].kind)];
         if !refuses && self.fleet.endpoints[ep as usize].connections >= k.connections {
             // Idle ones that have ended by now make room.
@@ -111,7 +111,7 @@
         if refuses || self.fleet.endpoints[ep as usize].connections >= k.connections {
             return fails(&mut self.queue, (trip + back).min(patience));
         }
-        let slow = nanos(self.faults.sum(sender, ep, What::SlowConnect));
+        let slow = nanos(self.faults.sum(sender, ep, FaultKind::SlowConnect));
         let shakes = ((trip + back) as f64 * world.net.handshakes).round() as Nanos + slow;
         if shakes > patience {
             return fails(&mut self.queue, patience);
@@ -133,9 +133,9 @@
         }
         let name = &self.fleet.names[ep as usize];
         let policy = self.hosts[sender as usize].policy.as_deref();
-        let may = |w: &u64| policy.is_some_and(|p| p.may_go(seconds(now), *w, name));
+        let may = |w: &u64| policy.is_some_and(|p| p.may_send(seconds(now), *w, name));
         if call.hooks.iter().all(may) {
-            let reaches = self.way(now, sender, ep, What::StallOut);
+            let reaches = self.way(now, sender, ep, FaultKind::StallOut);
             return self.queue.put(reaches, Event::Reached { call: place });
         }
         let call = &mut self.calls[place.0 as usize];
@@ -148,13 +148,13 @@
 
     /// When a message that leaves now arrives: the way of its zones, what is lost sent again, and no sooner than a
     /// stall in its direction is over.
-    pub(super) fn way(&mut self, now: Nanos, sender: u32, ep: u32, stall: What) -> Nanos {
+    pub(super) fn way(&mut self, now: Nanos, sender: u32, ep: u32, stall: FaultKind) -> Nanos {
         let net = &self.world.net;
         let same = self.hosts[sender as usize].zone == self.fleet.endpoints[ep as usize].zone;
         let with = &mut self.chance.net;
         let mut takes = if same { net.same.draw(with) } else { net.cross.draw(with) };
-        takes += self.faults.sum(sender, ep, What::Delay);
-        let loss = (net.loss + self.faults.sum(sender, ep, What::Loss)).min(0.99);
+        takes += self.faults.sum(sender, ep, FaultKind::Delay);
+        let loss = (net.loss + self.faults.sum(sender, ep, FaultKind::Loss)).min(0.99);
         let mut pause = net.resend_s;
         while loss > 0.0 && with.random::<f64>() < loss {
             takes += pause;
@@ -171,25 +171,26 @@
         &mut self, now: Nanos, call: Place, told: Told, wait: Nanos, report: Option<(f64, f64)>,
     ) {
         let (sender, ep) = (self.calls[call.0 as usize].sender, self.calls[call.0 as usize].ep);
-        let at = self.way(now, sender, ep, What::StallBack);
+        let at = self.way(now, sender, ep, FaultKind::StallBack);
         self.queue.put(at, Event::Answer { call, told, wait, report });
     }
 
     pub(super) fn reached(&mut self, now: Nanos, place: Place) {
         let Some(call) = self.current(place) else { return };
         let (sender, ep, reset) = (call.sender, call.ep, call.reset);
-        if self.faults.met(sender, ep, What::Silent) {
+        if self.faults.met(sender, ep, FaultKind::Silent) {
             return self.vanish(place.0);
         }
-        let down = self.faults.met(sender, ep, What::Down) || self.faults.met(sender, ep, What::Leave);
+        let down =
+            self.faults.met(sender, ep, FaultKind::Down) || self.faults.met(sender, ep, FaultKind::Leave);
         if down || self.fleet.endpoints[ep as usize].fallen || reset == 1 {
             return self.answer(now, place, Told::Reset, 0, None);
         }
-        self.log(Log::Call { sender, ep });
+        self.log(LogEvent::Call { sender, ep });
         let fall = self.fleet.pushed_over(now, ep, &self.world.rules);
         if !fall.is_empty() {
             self.measures.counts.falls += 1;
-            self.log(Log::Fell { ep });
+            self.log(LogEvent::Fell { ep });
             for e in fall {
                 self.fleet.endpoints[e as usize].fallen = true;
                 self.outage(now, e);
@@ -201,10 +202,10 @@
             }
         }
         let kind = self.fleet.destinations[self.fleet.endpoints[ep as usize].dest as usize].kind;
-        let k = &self.world.kinds[usize::from(kind)];
-        let factor = self.faults.product(sender, ep, What::Limit);
-        let refused = if self.faults.met(sender, ep, What::Shut) {
-            Some(self.faults.over_at(sender, ep, What::Shut).saturating_sub(now))
+        let k = &self.world.destination_kinds[usize::from(kind)];
+        let factor = self.faults.product(sender, ep, FaultKind::Limit);
+        let refused = if self.faults.met(sender, ep, FaultKind::Shut) {
+            Some(self.faults.over_at(sender, ep, FaultKind::Shut).saturating_sub(now))
         } else {
             self.fleet.take(now, ep, factor).err()
         };
@@ -213,7 +214,7 @@
             let tells = k.tells_wait > 0.0 && self.chance.service.random::<f64>() < k.tells_wait;
             return self.answer(now, place, Told::Full, if tells { wait } else { 0 }, report);
         }
-        if self.faults.met(sender, ep, What::Hang) {
+        if self.faults.met(sender, ep, FaultKind::Hang) {
             self.accept(now, place.0, false);
             self.ran(place.0, ep);
             return self.vanish(place.0);
@@ -223,7 +224,7 @@
             return self.answer(now, place, Told::Full, 0, report);
         }
         e.waiting.push_back(place.0);
-        let p = k.errors.max(self.faults.sum(sender, ep, What::Errors));
+        let p = k.errors.max(self.faults.sum(sender, ep, FaultKind::Errors));
         let fails = p > 0.0 && self.chance.service.random::<f64>() < p;
         self.accept(now, place.0, fails);
         self.calls[place.0 as usize].there = Some(now);
@@ -254,7 +255,7 @@
         let webhooks: Vec<(u64, bool)> = call.hooks.iter().copied().zip(call.known.iter().copied()).collect();
         for (webhook, known) in webhooks {
             self.measures.counts.known_repeats += u64::from(known);
-            self.log(Log::Ran { webhook, ep, known });
+            self.log(LogEvent::Ran { webhook, ep, known });
         }
     }
 
@@ -263,7 +264,7 @@
         while self.fleet.endpoints[ep as usize].busy < self.fleet.endpoints[ep as usize].workers {
             let Some(at) = self.fleet.endpoints[ep as usize].waiting.pop_front() else { return };
             let dest = self.fleet.endpoints[ep as usize].dest;
-            let k = &self.world.kinds[usize::from(self.fleet.destinations[dest as usize].kind)];
+            let k = &self.world.destination_kinds[usize::from(self.fleet.destinations[dest as usize].kind)];
             let call = &self.calls[at as usize];
             let (sender, came) = (call.sender, call.there.unwrap_or(now));
             self.measures.waited.leave(now, came);
@@ -277,7 +278,7 @@
                 self.ran(at, ep);
             }
             let part = self.fleet.part(now, ep, &self.world.rules);
-            let slow = self.faults.product(sender, ep, What::Slow);
+            let slow = self.faults.product(sender, ep, FaultKind::Slow);
             let takes = work(k, many, &mut self.chance.service) * slow / part;
             let done = self.faults.done_at(now, ep, takes);
             let place = (at, self.calls[at as usize].turn);
@@ -296,7 +297,8 @@
         e.busy -= 1;
         e.running.retain(|c| *c != place.0);
         self.measures.at_endpoints.leave(now, came);
-        let mute = self.faults.met(sender, ep, What::Silent) || self.faults.met(sender, ep, What::Hang);
+        let mute =
+            self.faults.met(sender, ep, FaultKind::Silent) || self.faults.met(sender, ep, FaultKind::Hang);
         if mute {
             self.vanish(place.0);
         } else {
@@ -308,8 +310,8 @@
                 Told::Delivered
             };
             let dest = self.fleet.endpoints[ep as usize].dest;
-            let k = &self.world.kinds[usize::from(self.fleet.destinations[dest as usize].kind)];
-            let factor = self.faults.product(sender, ep, What::Limit);
+            let k = &self.world.destination_kinds[usize::from(self.fleet.destinations[dest as usize].kind)];
+            let factor = self.faults.product(sender, ep, FaultKind::Limit);
             let report = (k.reports && told != Told::Reset).then(|| self.fleet.report(ep, factor));
             // One that reports its limit may also tell with a good answer how long it is used up.
             let mut wait = if k.reports && told == Told::Delivered { self.fleet.used_up(now, ep) } else { 0 };
@@ -401,7 +403,7 @@
                 hook.ran = Some((zone, sent_at));
             }
             let full_wait = if told == Told::Full { wait } else { 0 };
-            self.log(Log::Outcome { webhook: *webhook, sender, ep, told, wait: full_wait });
+            self.log(LogEvent::Outcome { webhook: *webhook, sender, ep, told, wait: full_wait });
             if told == Told::Delivered && !self.hooks[*webhook as usize - 1].ended {
                 self.end(now, *webhook, Final::Delivered, 0.0);
             }
@@ -411,9 +413,9 @@
             self.outcome(now, sender, webhook, ep, outcome, seconds(now - sent_at), ended, report);
         }
         if told == Told::Delivered && wait > 0 {
-            self.log(Log::Wait { sender, ep, wait });
+            self.log(LogEvent::Wait { sender, ep, wait });
             let name = std::mem::take(&mut self.fleet.names[ep as usize]);
-            self.input(sender, |p, out| p.told_wait(seconds(now), &name, wait_s, out));
+            self.input(sender, |p, out| p.wait_requested(seconds(now), &name, wait_s, out));
             self.fleet.names[ep as usize] = name;
         }
     }
--- a/crates/emulator/src/run/clients.rs
+++ b/crates/emulator/src/run/clients.rs
@@ -17,7 +17,8 @@
                 }
             }
         };
-        let surge = |f: &&crate::faults::Fault| f.what == What::Surge && f.from <= now && now < f.to;
+        let surge =
+            |f: &&crate::faults::ScheduledFault| f.kind == FaultKind::Surge && f.from <= now && now < f.to;
         c.rate * curve * self.faults.all.iter().filter(surge).map(|f| f.size).product::<f64>()
     }
 
@@ -49,7 +50,7 @@
         let with = &mut self.chance.clients;
         let event_type = self.event_types_drawn.draw(with) as u16;
         let t = &w.event_types[usize::from(event_type)];
-        let left = if c.short > 0.0 && with.random::<f64>() < c.short {
+        let left = if c.short_ttl_share > 0.0 && with.random::<f64>() < c.short_ttl_share {
             c.short_s.draw(with).min(t.ttl_s)
         } else {
             t.ttl_s
@@ -58,8 +59,8 @@
         // 0 is no key.
         let key =
             if t.ordered { u64::from(dest) << 20 | (1 + with.random_range(0..c.keys.max(1))) } else { 0 };
-        let gives_up =
-            (c.withdraw > 0.0 && with.random::<f64>() < c.withdraw).then(|| c.withdraw_s.draw(with));
+        let gives_up = (c.withdraw_share > 0.0 && with.random::<f64>() < c.withdraw_share)
+            .then(|| c.withdraw_s.draw(with));
         let (message, ttl_at) = (self.messages.len() as u64, now + nanos(left));
         let (again, webhook, over) = (0, 0, false);
         self.messages.push(Message {
@@ -126,7 +127,7 @@
         }
         let h = &self.hosts[sender as usize];
         if !h.up() || h.open.len() >= self.world.senders.holds {
-            self.measures.counts.turned_away += 1;
+            self.measures.counts.refused += 1;
             return self.again(now, message, 0.0);
         }
         let webhook = self.hooks.len() as u64 + 1;
@@ -142,11 +143,11 @@
         });
         self.messages[message as usize].webhook = webhook;
         self.hosts[sender as usize].open.insert(webhook);
-        self.measures.counts.taken += 1;
+        self.measures.counts.accepted += 1;
         self.measures.at_senders.enter(now);
-        let held = self.measures.counts.taken - self.measures.at_senders.left;
-        self.measures.counts.held_most = self.measures.counts.held_most.max(held);
-        self.log(Log::Taken { webhook, message, sender, event_type, dest, key, ttl_at });
+        let held = self.measures.counts.accepted - self.measures.at_senders.left;
+        self.measures.counts.peak_queued = self.measures.counts.peak_queued.max(held);
+        self.log(LogEvent::Taken { webhook, message, sender, event_type, dest, key, ttl_at });
         self.give(now, webhook, None);
     }
 
@@ -162,12 +163,12 @@
         let (now, key) = (seconds(now), key.as_deref());
         match resumed {
             None => self
-                .input(sender, |p, out| p.webhook(now, webhook, event_type, dest, key, customer, left, out)),
+                .input(sender, |p, out| p.accept(now, webhook, event_type, dest, key, customer, left, out)),
             Some((tries, ran)) => {
                 let zone = ran.map(|r| (self.fleet.zones[usize::from(r.0)].clone(), seconds(r.1)));
                 let ran = zone.as_ref().map(|(z, at)| (z.as_str(), *at));
                 self.input(sender, |p, out| {
-                    p.resumed(now, webhook, event_type, dest, key, customer, left, tries, ran, out);
+                    p.resume(now, webhook, event_type, dest, key, customer, left, tries, ran, out);
                 });
             }
         }
@@ -184,7 +185,7 @@
         let (sender, ended) = (hook.sender, hook.ended);
         if !ended && self.hosts[sender as usize].up() {
             self.end(now, webhook, Final::Withdrawn, 0.0);
-            self.input(sender, |p, out| p.withdrawn(seconds(now), webhook, out));
+            self.input(sender, |p, out| p.withdraw(seconds(now), webhook, out));
         }
     }
 }
--- a/crates/emulator/src/run/endpoint_list.rs
+++ b/crates/emulator/src/run/endpoint_list.rs
@@ -5,7 +5,7 @@
 impl Run<'_> {
     pub(super) fn listed(&self, sender: u32, ep: u32) -> Listed {
         let l = self.fleet.endpoints[ep as usize].listed;
-        Listed { rate: l.rate * self.faults.product(sender, ep, What::ListWrong), ..l }
+        Listed { rate: l.rate * self.faults.product(sender, ep, FaultKind::ListWrong), ..l }
     }
 
     pub(super) fn whole_list(&self, sender: u32) -> Vec<(u32, Listed)> {
@@ -15,10 +15,10 @@
     /// Sends a part of the list to a sender; parts come in order.
     pub(super) fn send_list(&mut self, now: Nanos, sender: u32, mode: ListUpdate, items: Vec<(u32, Listed)>) {
         let mut at = now + nanos(self.world.list.delay.draw(&mut self.chance.list));
-        if let Some(late) = self.faults.at_sender(now, sender, What::ListLate) {
+        if let Some(late) = self.faults.at_sender(now, sender, FaultKind::ListLate) {
             at += nanos(late.size);
         }
-        if let Some(refused) = self.faults.at_sender(now, sender, What::ListRefused) {
+        if let Some(refused) = self.faults.at_sender(now, sender, FaultKind::ListRefused) {
             at = at.max(refused.to);
         }
         let h = &mut self.hosts[sender as usize];
@@ -41,7 +41,7 @@
         let life = self.hosts[sender as usize].life;
         if !on {
             self.hosts[sender as usize].watching = false;
-        } else if self.faults.at_sender(now, sender, What::ListRefused).is_some() {
+        } else if self.faults.at_sender(now, sender, FaultKind::ListRefused).is_some() {
             let after = nanos(self.world.list.delay.draw(&mut self.chance.list));
             let items = Vec::new();
             self.queue.put(now + after, Event::News { sender, life, mode: ListUpdate::Refused, items });
@@ -57,7 +57,7 @@
             let changed = known.ready != l.ready;
             *known = *l;
             if changed {
-                self.log(Log::Listed { sender, ep: *ep, ready: l.ready });
+                self.log(LogEvent::Listed { sender, ep: *ep, ready: l.ready });
             }
         }
         self.tell(now, sender, mode, items);
@@ -72,8 +72,9 @@
             ListedEndpoint {
                 endpoint: &names[*ep as usize],
                 zone: &zones[usize::from(e.zone)],
-                destination_kind: &world.kinds[usize::from(self.fleet.destinations[e.dest as usize].kind)]
-                    .name,
+                destination_kind: &world.destination_kinds
+                    [usize::from(self.fleet.destinations[e.dest as usize].kind)]
+                .name,
                 destination: u64::from(e.dest),
                 ready: l.ready,
                 rate_limit: l.rate,
@@ -81,7 +82,7 @@
             }
         };
         let entries: Vec<ListedEndpoint> = items.iter().map(entry).collect();
-        self.input(sender, |p, out| p.list(seconds(now), mode, &entries, out));
+        self.input(sender, |p, out| p.update_list(seconds(now), mode, &entries, out));
         (self.fleet.names, self.fleet.zones) = (names, zones);
     }
 }
--- a/crates/emulator/src/run/troubles.rs
+++ b/crates/emulator/src/run/faults.rs
@@ -6,23 +6,23 @@
     pub(super) fn begin(&mut self, now: Nanos, i: usize) {
         self.faults.begin(i);
         let f = &self.faults.all[i];
-        let (what, size, to, whole) = (f.what, f.size, f.to, f.senders.is_empty());
+        let (kind, size, to, whole) = (f.kind, f.size, f.to, f.senders.is_empty());
         let (endpoints, senders, dests) = (f.endpoints.clone(), f.senders.clone(), f.destinations.clone());
-        match what {
-            What::Kill => senders.iter().for_each(|s| self.die(now, *s)),
-            What::Restart => {
+        match kind {
+            FaultKind::Kill => senders.iter().for_each(|s| self.die(now, *s)),
+            FaultKind::Restart => {
                 for s in senders {
-                    self.input(s, |p, out| p.closing(seconds(now), seconds(now) + size, out));
+                    self.input(s, |p, out| p.begin_shutdown(seconds(now), seconds(now) + size, out));
                     let life = self.hosts[s as usize].life;
                     self.queue.put(now + nanos(size), Event::Die { sender: s, life });
                 }
             }
-            What::Drain | What::Leave => {
+            FaultKind::Drain | FaultKind::Leave => {
                 endpoints.iter().for_each(|e| self.fleet.endpoints[*e as usize].listed.ready = false);
                 self.list_changed(now, &endpoints);
             }
-            What::ListWrong => self.list_changed(now, &endpoints),
-            What::ListRefused if self.world.list.ask => {
+            FaultKind::ListWrong => self.list_changed(now, &endpoints),
+            FaultKind::ListRefused if self.world.list.ask => {
                 for s in senders {
                     let h = &mut self.hosts[s as usize];
                     if std::mem::take(&mut h.watching) {
@@ -31,7 +31,7 @@
                     }
                 }
             }
-            What::Clump => {
+            FaultKind::Clump => {
                 let span = seconds(to - now);
                 for dest in dests {
                     for _ in 0..size as u64 {
@@ -43,7 +43,7 @@
             _ => {}
         }
         for e in &endpoints {
-            if matches!(what, What::Down | What::Leave) && whole {
+            if matches!(kind, FaultKind::Down | FaultKind::Leave) && whole {
                 self.drop_all(now, *e);
             }
             self.outage(now, *e);
@@ -53,20 +53,20 @@
     pub(super) fn over(&mut self, now: Nanos, i: usize) {
         self.faults.finish(i);
         let f = &self.faults.all[i];
-        let (what, endpoints, senders) = (f.what, f.endpoints.clone(), f.senders.clone());
-        match what {
-            What::Kill | What::Restart => {
+        let (kind, endpoints, senders) = (f.kind, f.endpoints.clone(), f.senders.clone());
+        match kind {
+            FaultKind::Kill | FaultKind::Restart => {
                 for s in senders {
                     // One that was to end as planned may have had no time to.
                     self.die(now, s);
                     self.start(s);
                 }
             }
-            What::Drain | What::Leave => {
+            FaultKind::Drain | FaultKind::Leave => {
                 endpoints.iter().for_each(|e| self.fleet.endpoints[*e as usize].listed.ready = true);
                 self.list_changed(now, &endpoints);
             }
-            What::ListWrong => self.list_changed(now, &endpoints),
+            FaultKind::ListWrong => self.list_changed(now, &endpoints),
             _ => {}
         }
         for e in &endpoints {
@@ -81,10 +81,10 @@
             return;
         }
         if is {
-            self.log(Log::OutageBegan { ep });
+            self.log(LogEvent::OutageBegan { ep });
         } else {
             self.fleet.back(now, ep);
-            self.log(Log::OutageEnded { ep });
+            self.log(LogEvent::OutageEnded { ep });
         }
     }
 }
--- a/crates/emulator/src/run/senders.rs
+++ b/crates/emulator/src/run/senders.rs
@@ -32,8 +32,8 @@
                     self.fleet.endpoints[ep as usize].connections -= closed;
                 }
                 // A hundred lines tell what is wrong with a policy.
-                Act::Log(text) if self.lines.len() < 100 => {
-                    self.lines.push(format!("{:.3} sender {sender}: {text}", seconds(now)));
+                Act::Log(text) if self.policy_messages.len() < 100 => {
+                    self.policy_messages.push(format!("{:.3} sender {sender}: {text}", seconds(now)));
                 }
                 Act::Log(_) => {}
             }
@@ -48,7 +48,7 @@
     ) {
         let name = std::mem::take(&mut self.fleet.names[ep as usize]);
         self.input(sender, |p, out| {
-            p.outcome(seconds(now), webhook, &name, outcome, took, ended, report, out)
+            p.attempt_ended(seconds(now), webhook, &name, outcome, took, ended, report, out)
         });
         self.fleet.names[ep as usize] = name;
     }
@@ -61,7 +61,7 @@
         hook.ended = true;
         let (taken_at, ran) = (hook.taken_at, hook.ran.is_some());
         // A second answer is written down, for the rules to see; nothing else comes of it.
-        self.log(Log::End { webhook, sender, end });
+        self.log(LogEvent::End { webhook, sender, end });
         if !first {
             return;
         }
@@ -116,9 +116,9 @@
         h.watching = false;
         let life = h.life;
         let seed = mix(self.seed ^ mix(u64::from(sender) << 32 | u64::from(life)));
-        let start = Start { now: seconds(now), seed, number: sender as usize, world: self.world };
+        let start = SenderStart { now: seconds(now), seed, sender_index: sender as usize, world: self.world };
         h.policy = Some((self.maker)(start));
-        self.log(Log::Started { sender });
+        self.log(LogEvent::Started { sender });
         let known: Vec<(u32, Listed)> = numbered(&self.hosts[sender as usize].known);
         self.tell(now, sender, ListUpdate::Remembered, &known);
         let open: Vec<u64> = self.hosts[sender as usize].open.iter().copied().collect();
@@ -148,7 +148,7 @@
         let open: Vec<u64> = h.open.iter().copied().collect();
         self.noticed_at[sender as usize] =
             now + nanos(self.world.senders.notice_s.draw(&mut self.chance.front));
-        self.log(Log::Killed { sender });
+        self.log(LogEvent::Killed { sender });
         for at in calls {
             let c = &mut self.calls[at as usize];
             let (ep, sent_at) = (c.ep, c.sent_at);
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -1,17 +1,17 @@
 //! The world as data: what a file says of the day, the senders, what they deliver to, and the troubles. All times are
 //! seconds with fractions, all rates are per second, all shares lie between 0 and 1.
 
-use crate::chance::Spread;
+use crate::random::Spread;
 use serde::{Deserialize, Serialize};
 
 /// Why a world cannot be played: the field, as a path with dots, and what is wrong with it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct WorldError {
     pub field: String,
     pub why: String,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for WorldError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "{}: {}", self.field, self.why)
     }
@@ -27,7 +27,7 @@
     #[serde(default)]
     pub destinations: Destinations,
     #[serde(default, rename = "kind")]
-    pub kinds: Vec<Kind>,
+    pub destination_kinds: Vec<DestinationKind>,
     #[serde(default, rename = "event_type")]
     pub event_types: Vec<EventType>,
     #[serde(default, rename = "customer")]
@@ -39,7 +39,7 @@
     #[serde(default)]
     pub rules: Rules,
     #[serde(default, rename = "trouble")]
-    pub troubles: Vec<Trouble>,
+    pub faults: Vec<FaultSpec>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -50,14 +50,15 @@
     /// The grid on which all events lie, in microseconds; 0 for none. On a coarse one many come at one instant.
     pub tick_us: u64,
     /// Which order events of one instant come in: 0 as they came about, else shuffled by this number.
-    pub order: u64,
+    #[serde(rename = "order")]
+    pub shuffle_seed: u64,
     /// The span of the figures that are given over time.
     pub window_s: f64,
 }
 
 impl Default for Day {
     fn default() -> Self {
-        Day { length_s: 60.0, tick_us: 0, order: 0, window_s: 1.0 }
+        Day { length_s: 60.0, tick_us: 0, shuffle_seed: 0, window_s: 1.0 }
     }
 }
 
@@ -131,10 +132,12 @@
     /// Share of clients that heed a time to come back.
     pub heed: f64,
     /// Share of webhooks that clients withdraw, and after how long.
-    pub withdraw: f64,
+    #[serde(rename = "withdraw")]
+    pub withdraw_share: f64,
     pub withdraw_s: Spread,
     /// Share of webhooks that come with little time left, and how much.
-    pub short: f64,
+    #[serde(rename = "short")]
+    pub short_ttl_share: f64,
     pub short_s: Spread,
     /// Keys of a destination, for event types in order.
     pub keys: u64,
@@ -152,12 +155,12 @@
             clump_size: 10,
             clump_s: 0.1,
             retries: 2,
-            again_s: Spread { mean_s: 1.0, shape: crate::chance::Shape::Uniform, cv: 1.0 },
+            again_s: Spread { mean_s: 1.0, shape: crate::random::Shape::Uniform, cv: 1.0 },
             doubles: true,
             heed: 0.7,
-            withdraw: 0.0,
+            withdraw_share: 0.0,
             withdraw_s: Spread::fixed(1.0),
-            short: 0.0,
+            short_ttl_share: 0.0,
             short_s: Spread::fixed(0.5),
             keys: 8,
         }
@@ -194,7 +197,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Kind {
+pub struct DestinationKind {
     pub name: String,
     /// How many of the destinations are of it, against the other kinds.
     pub share: f64,
@@ -227,15 +230,15 @@
     pub cancels: bool,
 }
 
-impl Default for Kind {
+impl Default for DestinationKind {
     fn default() -> Self {
-        Kind {
+        DestinationKind {
             name: "plain".into(),
             share: 1.0,
             apart: false,
             batch: 1,
             item_cost: 0.2,
-            service: Spread { mean_s: 0.1, shape: crate::chance::Shape::Lognormal, cv: 0.6 },
+            service: Spread { mean_s: 0.1, shape: crate::random::Shape::Lognormal, cv: 0.6 },
             workers: 0,
             queue: 32,
             connections: 400,
@@ -327,7 +330,7 @@
 
 impl Default for Net {
     fn default() -> Self {
-        let shape = crate::chance::Shape::Uniform;
+        let shape = crate::random::Shape::Uniform;
         Net {
             zones: 3,
             same: Spread { mean_s: 0.002, shape, cv: 1.0 },
@@ -392,7 +395,7 @@
 /// What can go wrong. `size` and `extra` mean what the line says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum FaultKind {
     /// Endpoints refuse connections; calls under way are reset.
     Down,
     /// Endpoints say nothing, not even to a connection.
@@ -446,37 +449,44 @@
 /// Which of the endpoints, destinations or senders a trouble strikes: all that meet every condition.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Struck {
+pub struct FaultTarget {
     /// By number, from 0. Empty: any.
     pub senders: Vec<usize>,
     pub destinations: Vec<usize>,
     /// An endpoint's number within its destination.
     pub endpoints: Vec<usize>,
     pub zones: Vec<usize>,
-    pub kinds: Vec<String>,
+    #[serde(rename = "kinds")]
+    pub destination_kinds: Vec<String>,
     /// The share of the destinations (for troubles of senders: of the senders) struck, chosen by chance; 0: all.
-    pub part: f64,
+    #[serde(rename = "part")]
+    pub share: f64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
-    pub what: What,
-    pub at_s: f64,
+pub struct FaultSpec {
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
+    #[serde(rename = "at_s")]
+    pub start_s: f64,
     #[serde(default)]
-    pub for_s: f64,
+    #[serde(rename = "for_s")]
+    pub duration_s: f64,
     #[serde(default)]
     pub size: f64,
     #[serde(default)]
-    pub extra: f64,
+    #[serde(rename = "extra")]
+    pub period_s: f64,
     #[serde(default)]
-    pub on: Struck,
+    #[serde(rename = "on")]
+    pub target: FaultTarget,
 }
 
 impl World {
     /// Says what is contradictory or cannot be played.
-    pub fn check(&self) -> Result<(), Fault> {
-        let fault = |field: &str, why: &str| Err(Fault { field: field.into(), why: why.into() });
+    pub fn check(&self) -> Result<(), WorldError> {
+        let fault = |field: &str, why: &str| Err(WorldError { field: field.into(), why: why.into() });
         let sizes = [
             ("day.length_s", self.day.length_s),
             ("day.window_s", self.day.window_s),
@@ -505,8 +515,8 @@
         let shares = [
             ("clients.clump_share", self.clients.clump_share),
             ("clients.heed", self.clients.heed),
-            ("clients.withdraw", self.clients.withdraw),
-            ("clients.short", self.clients.short),
+            ("clients.withdraw", self.clients.withdraw_share),
+            ("clients.short", self.clients.short_ttl_share),
             ("net.loss", self.net.loss),
             ("net.resets", self.net.resets),
             ("rules.cold_from", self.rules.cold_from),
@@ -526,7 +536,7 @@
                 "needs two whole numbers from 1 to 64, the smaller first",
             );
         }
-        if self.kinds.is_empty() {
+        if self.destination_kinds.is_empty() {
             return fault("kind", "names no kind of destination");
         }
         if self.event_types.is_empty() {
@@ -540,9 +550,9 @@
         if self.clients.curve != Curve::Points && !self.clients.points.is_empty() {
             return fault("clients.points", "has no meaning unless the curve is \"points\"");
         }
-        for (i, k) in self.kinds.iter().enumerate() {
+        for (i, k) in self.destination_kinds.iter().enumerate() {
             let at = |f: &str| format!("kind.{i}.{f}");
-            if self.kinds[..i].iter().any(|x| x.name == k.name) {
+            if self.destination_kinds[..i].iter().any(|x| x.name == k.name) {
                 return fault(&at("name"), "is the name of an earlier kind too");
             }
             if k.batch == 0 {
@@ -576,44 +586,49 @@
                 );
             }
         }
-        for (i, t) in self.troubles.iter().enumerate() {
+        for (i, t) in self.faults.iter().enumerate() {
             let at = |f: &str| format!("trouble.{i}.{f}");
-            let ends = t.at_s + t.for_s;
-            if !(t.at_s >= 0.0 && t.for_s >= 0.0 && ends.is_finite()) {
+            let ends = t.start_s + t.duration_s;
+            if !(t.start_s >= 0.0 && t.duration_s >= 0.0 && ends.is_finite()) {
                 return fault(&at("at_s"), "a trouble begins at 0 or later and lasts a time of 0 or more");
             }
-            use What::*;
-            match t.what {
+            use FaultKind::*;
+            match t.kind {
                 Errors | Loss | Resets
-                    if !(0.0..=1.0).contains(&t.size) || (t.what == Loss && t.size >= 1.0) =>
+                    if !(0.0..=1.0).contains(&t.size) || (t.kind == Loss && t.size >= 1.0) =>
                 {
                     return fault(&at("size"), "is a share here: it lies between 0 and 1");
                 }
                 Slow | Limit | Surge | ListWrong | Clump if t.size <= 0.0 => {
                     return fault(&at("size"), "must be above 0: a factor, or for a clump a count");
                 }
-                Pauses if !(t.size > 0.0 && t.extra > t.size) => {
+                Pauses if !(t.size > 0.0 && t.period_s > t.size) => {
                     return fault(&at("extra"), "must be above size: so many seconds out of every `extra`");
                 }
-                Restart if t.for_s < t.size => {
+                Restart if t.duration_s < t.size => {
                     return fault(&at("for_s"), "must be at least size, the time that the planned end takes");
                 }
                 _ if t.size < 0.0 => return fault(&at("size"), "must not be below 0"),
                 _ => {}
             }
-            if let Some(n) = t.on.senders.iter().find(|n| **n >= self.senders.count) {
+            if let Some(n) = t.target.senders.iter().find(|n| **n >= self.senders.count) {
                 return fault(&at("on.senders"), &format!("there is no sender {n}; they count from 0"));
             }
-            if let Some(n) = t.on.destinations.iter().find(|n| **n >= self.destinations.count) {
+            if let Some(n) = t.target.destinations.iter().find(|n| **n >= self.destinations.count) {
                 return fault(
                     &at("on.destinations"),
                     &format!("there is no destination {n}; they count from 0"),
                 );
             }
-            if let Some(k) = t.on.kinds.iter().find(|k| !self.kinds.iter().any(|x| x.name == **k)) {
+            if let Some(k) = t
+                .target
+                .destination_kinds
+                .iter()
+                .find(|k| !self.destination_kinds.iter().any(|x| x.name == **k))
+            {
                 return fault(&at("on.kinds"), &format!("no kind is called {k:?}"));
             }
-            if !(0.0..=1.0).contains(&t.on.part) {
+            if !(0.0..=1.0).contains(&t.target.share) {
                 return fault(&at("on.part"), "is a share: it lies between 0 and 1");
             }
         }
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -3,15 +3,15 @@
 mod helpers;
 use helpers::{office, play, trouble};
 use proptest::prelude::*;
-use scalebarrow_emulator::spec::{What, World};
+use scalebarrow_emulator::spec::{FaultKind, World};
 use scalebarrow_emulator::{Report, run};
 
 fn rough() -> World {
     let mut world = office(20.0);
-    world.troubles = vec![
-        trouble(What::Down, 4.0, 4.0, 0.0, 0.3),
-        trouble(What::Kill, 8.0, 2.0, 0.0, 0.4),
-        trouble(What::Loss, 3.0, 12.0, 0.05, 0.0),
+    world.faults = vec![
+        trouble(FaultKind::Down, 4.0, 4.0, 0.0, 0.3),
+        trouble(FaultKind::Kill, 8.0, 2.0, 0.0, 0.4),
+        trouble(FaultKind::Loss, 3.0, 12.0, 0.05, 0.0),
     ];
     world
 }
@@ -40,7 +40,7 @@
     let seen = |policy: &str| -> Report { play(&rough(), 2, policy) };
     let (a, b) = (seen("module"), seen("random"));
     assert_eq!(a.counts.messages, b.counts.messages);
-    let asked = |r: &Report| r.windows.iter().map(|w| w.asked).collect::<Vec<_>>();
+    let asked = |r: &Report| r.windows.iter().map(|w| w.offered_value).collect::<Vec<_>>();
     assert_eq!(asked(&a), asked(&b));
 }
 
@@ -54,12 +54,12 @@
         ("net.loss", |w| w.net.loss = 1.0),
         ("destinations.endpoints", |w| w.destinations.endpoints = (3, 2)),
         ("clients.points", |w| w.clients.points = vec![(0.0, 1.0)]),
-        ("kind.1.name", |w| w.kinds[1].name = "plain".into()),
-        ("kind.1.reports", |w| w.kinds[1].limit = Default::default()),
+        ("kind.1.name", |w| w.destination_kinds[1].name = "plain".into()),
+        ("kind.1.reports", |w| w.destination_kinds[1].limit = Default::default()),
         ("event_type.1.known_s", |w| w.event_types[1].known_s = 0.0),
         ("event_type.0.ttl_s", |w| w.event_types[0].ttl_s = 1.0),
-        ("trouble.2.size", |w| w.troubles[2].size = 2.0),
-        ("trouble.1.on.senders", |w| w.troubles[1].on.senders = vec![9]),
+        ("trouble.2.size", |w| w.faults[2].size = 2.0),
+        ("trouble.1.on.senders", |w| w.faults[1].target.senders = vec![9]),
     ];
     for (field, change) in change {
         let mut world = rough();
@@ -78,17 +78,17 @@
     /// Whatever strikes, each webhook that was handed in is accounted for, and nothing stays behind.
     #[test]
     fn nothing_is_unaccounted_for(seed in 0_u64..1_000, order in 0_u64..3, of in prop::collection::vec(any_trouble(), 0..4)) {
-        const SORTS: [(What, f64); 10] = [
-            (What::Down, 0.0), (What::Silent, 0.0), (What::Hang, 0.0), (What::Kill, 0.0), (What::Resets, 0.3),
-            (What::StallBack, 0.0), (What::Leave, 0.0), (What::Shut, 0.0), (What::Forgets, 0.2), (What::Restart, 1.0),
+        const SORTS: [(FaultKind, f64); 10] = [
+            (FaultKind::Down, 0.0), (FaultKind::Silent, 0.0), (FaultKind::Hang, 0.0), (FaultKind::Kill, 0.0), (FaultKind::Resets, 0.3),
+            (FaultKind::StallBack, 0.0), (FaultKind::Leave, 0.0), (FaultKind::Shut, 0.0), (FaultKind::Forgets, 0.2), (FaultKind::Restart, 1.0),
         ];
         let mut world = office(12.0);
-        (world.day.order, world.day.tick_us) = (order, 1_000 * order);
-        world.troubles = of.iter().map(|(i, at, len, part)| trouble(SORTS[*i].0, *at, *len, SORTS[*i].1, *part)).collect();
-        let maker = scalebarrow_emulator::baselines::named("module").unwrap();
+        (world.day.shuffle_seed, world.day.tick_us) = (order, 1_000 * order);
+        world.faults = of.iter().map(|(i, at, len, part)| trouble(SORTS[*i].0, *at, *len, SORTS[*i].1, *part)).collect();
+        let maker = scalebarrow_emulator::baselines::factory_by_name("module").unwrap();
         let day = run(&world, seed, &maker, &mut |_| {}).unwrap();
         let c = &day.counts;
-        prop_assert_eq!(c.taken, c.delivered + c.rejected + c.dead_lettered + c.withdrawn);
+        prop_assert_eq!(c.accepted, c.delivered + c.rejected + c.dead_lettered + c.withdrawn);
         prop_assert!(day.little_holds());
         prop_assert!(day.value <= 1.0 && day.worst_window <= 1.0);
     }
--- a/crates/emulator/tests/helpers/mod.rs
+++ b/crates/emulator/tests/helpers/mod.rs
@@ -2,22 +2,28 @@
 #![allow(dead_code)]
 
 use scalebarrow::{ActionSink, ListUpdate, ListedEndpoint, Outcome};
-use scalebarrow_emulator::chance::{Shape, Spread};
-use scalebarrow_emulator::policy::{Policy, Start};
+use scalebarrow_emulator::policy::{Policy, SenderStart};
+use scalebarrow_emulator::random::{Shape, Spread};
 use scalebarrow_emulator::spec::*;
 use scalebarrow_emulator::{Report, run};
 use std::collections::BTreeMap;
 
 /// One destination with one endpoint of so many workers, no way, no limits, and time without end.
 pub fn queue(rate: f64, workers: usize, service: Spread, length_s: f64) -> World {
-    let kind = Kind { service, workers, queue: usize::MAX, connections: usize::MAX, ..Kind::default() };
+    let kind = DestinationKind {
+        service,
+        workers,
+        queue: usize::MAX,
+        connections: usize::MAX,
+        ..DestinationKind::default()
+    };
     let event_type = EventType { target_s: 1e5, ttl_s: 1e6, ..EventType::default() };
     World {
         day: Day { length_s, ..Day::default() },
         senders: Senders { count: 1, slots: usize::MAX, holds: usize::MAX, ..Senders::default() },
         clients: Clients { rate, ..Clients::default() },
         destinations: Destinations { count: 1, skew: 0.0, endpoints: (1, 1) },
-        kinds: vec![kind],
+        destination_kinds: vec![kind],
         event_types: vec![event_type],
         net: Net {
             zones: 1,
@@ -49,33 +55,33 @@
         ordered,
         ..EventType::default()
     };
-    let plain = Kind { name: "plain".into(), limit: LimitBy::Span, ..Kind::default() };
-    let apart = Kind {
+    let plain = DestinationKind { name: "plain".into(), limit: LimitBy::Span, ..DestinationKind::default() };
+    let apart = DestinationKind {
         name: "apart".into(),
         apart: true,
         batch: 5,
         limit: LimitBy::Rate,
         reports: true,
         least_rate: 6.0,
-        ..Kind::default()
+        ..DestinationKind::default()
     };
     World {
         day: Day { length_s, ..Day::default() },
         clients: Clients { rate: 60.0, clump_share: 0.1, ..Clients::default() },
         destinations: Destinations { count: 10, ..Destinations::default() },
-        kinds: vec![plain, apart],
+        destination_kinds: vec![plain, apart],
         event_types: types.into_iter().map(event_type).collect(),
         ..World::default()
     }
 }
 
-pub fn trouble(what: What, at_s: f64, for_s: f64, size: f64, part: f64) -> Trouble {
-    let on = Struck { part, ..Struck::default() };
-    Trouble { what, at_s, for_s, size, extra: 0.0, on }
+pub fn trouble(kind: FaultKind, start_s: f64, duration_s: f64, size: f64, share: f64) -> FaultSpec {
+    let target = FaultTarget { share, ..FaultTarget::default() };
+    FaultSpec { kind, start_s, duration_s, size, period_s: 0.0, target }
 }
 
 pub fn play(world: &World, seed: u64, policy: &str) -> Report {
-    let maker = scalebarrow_emulator::baselines::named(policy).unwrap();
+    let maker = scalebarrow_emulator::baselines::factory_by_name(policy).unwrap();
     run(world, seed, &maker, &mut |_| {}).unwrap()
 }
 
@@ -146,7 +152,7 @@
         })
     }
 
-    pub fn maker(flaw: Flaw) -> impl Fn(Start) -> Box<dyn Policy> + Sync {
+    pub fn maker(flaw: Flaw) -> impl Fn(SenderStart) -> Box<dyn Policy> + Sync {
         move |_| Careful::open(flaw)
     }
 
@@ -207,7 +213,9 @@
 }
 
 impl Policy for Careful {
-    fn list(&mut self, now: f64, _mode: ListUpdate, entries: &[ListedEndpoint], out: &mut dyn ActionSink) {
+    fn update_list(
+        &mut self, now: f64, _mode: ListUpdate, entries: &[ListedEndpoint], out: &mut dyn ActionSink,
+    ) {
         for e in entries {
             let eps = self.eps.entry(e.destination).or_default();
             match eps.iter_mut().find(|x| x.0 == e.endpoint) {
@@ -220,7 +228,7 @@
             out.schedule_wake(0.05, 0);
         }
     }
-    fn webhook(
+    fn accept(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, key: Option<&str>,
         _customer: Option<&str>, left: f64, out: &mut dyn ActionSink,
     ) {
@@ -232,18 +240,18 @@
         self.settle(now, out);
         self.arriving = false;
     }
-    fn resumed(
+    fn resume(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, key: Option<&str>, customer: Option<&str>,
         left: f64, _tries: u32, ran: Option<(&str, f64)>, out: &mut dyn ActionSink,
     ) {
         if ran.is_some() {
             out.dead_letter(id);
         } else {
-            self.webhook(now, id, event_type, dest, key, customer, left, out);
+            self.accept(now, id, event_type, dest, key, customer, left, out);
         }
     }
-    fn closing(&mut self, _now: f64, _by: f64, _out: &mut dyn ActionSink) {}
-    fn outcome(
+    fn begin_shutdown(&mut self, _now: f64, _by: f64, _out: &mut dyn ActionSink) {}
+    fn attempt_ended(
         &mut self, now: f64, id: u64, ep: &str, outcome: Outcome, _took: f64, ended: bool,
         _report: Option<(f64, f64)>, out: &mut dyn ActionSink,
     ) {
@@ -274,19 +282,19 @@
         }
         self.settle(now, out);
     }
-    fn told_wait(&mut self, now: f64, ep: &str, wait: f64, _out: &mut dyn ActionSink) {
+    fn wait_requested(&mut self, now: f64, ep: &str, wait: f64, _out: &mut dyn ActionSink) {
         let dest = self.eps.iter().find(|(_, eps)| eps.iter().any(|e| e.0 == ep)).map_or(0, |d| *d.0);
         let until = now + wait + 0.001;
         let q = self.quiet.entry(dest).or_default();
         *q = q.max(until);
     }
-    fn withdrawn(&mut self, now: f64, id: u64, out: &mut dyn ActionSink) {
+    fn withdraw(&mut self, now: f64, id: u64, out: &mut dyn ActionSink) {
         if self.items.get(&id).is_some_and(|i| !i.out) {
             self.items.remove(&id);
         }
         self.settle(now, out);
     }
-    fn woken(&mut self, now: f64, _handle: u64, out: &mut dyn ActionSink) {
+    fn wake(&mut self, now: f64, _handle: u64, out: &mut dyn ActionSink) {
         self.settle(now, out);
         out.schedule_wake(0.05, 0);
     }
--- a/crates/emulator/tests/returns.rs
+++ b/crates/emulator/tests/returns.rs
@@ -3,15 +3,15 @@
 mod helpers;
 
 use helpers::{spread, trouble};
-use scalebarrow_emulator::chance::Shape;
-use scalebarrow_emulator::events::What as Event;
+use scalebarrow_emulator::events::LogEvent;
+use scalebarrow_emulator::random::Shape;
 use scalebarrow_emulator::spec::*;
 use scalebarrow_emulator::{Rule, baselines, run};
 
 /// How a destination fails, for how long, and what kind it is.
 struct Outage {
     name: &'static str,
-    what: What,
+    what: FaultKind,
     lasts_s: f64,
     /// Webhooks in a call; where it is more than one, each route is on its own.
     batch: usize,
@@ -19,10 +19,10 @@
 }
 
 const OUTAGES: [Outage; 4] = [
-    Outage { name: "short", what: What::Down, lasts_s: 10.0, batch: 1, limit: LimitBy::None },
-    Outage { name: "long", what: What::Down, lasts_s: 40.0, batch: 1, limit: LimitBy::None },
-    Outage { name: "hang", what: What::Hang, lasts_s: 20.0, batch: 1, limit: LimitBy::None },
-    Outage { name: "batches", what: What::Down, lasts_s: 10.0, batch: 8, limit: LimitBy::Rate },
+    Outage { name: "short", what: FaultKind::Down, lasts_s: 10.0, batch: 1, limit: LimitBy::None },
+    Outage { name: "long", what: FaultKind::Down, lasts_s: 40.0, batch: 1, limit: LimitBy::None },
+    Outage { name: "hang", what: FaultKind::Hang, lasts_s: 20.0, batch: 1, limit: LimitBy::None },
+    Outage { name: "batches", what: FaultKind::Down, lasts_s: 10.0, batch: 8, limit: LimitBy::Rate },
 ];
 
 const BEGINS_S: f64 = 5.0;
@@ -33,7 +33,7 @@
 
 /// A hundred destinations, half of them struck, 300 webhooks a second from so many senders.
 fn world(senders: usize, outage: &Outage) -> World {
-    let kind = Kind {
+    let kind = DestinationKind {
         name: "plain".into(),
         headroom: 1.5,
         queue: 16,
@@ -41,7 +41,7 @@
         apart: outage.batch > 1,
         limit: outage.limit,
         service: spread(0.1, Shape::Lognormal, 0.8),
-        ..Kind::default()
+        ..DestinationKind::default()
     };
     let event_type = EventType { name: "order".into(), effect: Effect::Tokened, ..EventType::default() };
     World {
@@ -49,9 +49,9 @@
         senders: Senders { count: senders, ..Senders::default() },
         clients: Clients { rate: 300.0, ..Clients::default() },
         destinations: Destinations { count: 100, ..Destinations::default() },
-        kinds: vec![kind],
+        destination_kinds: vec![kind],
         event_types: vec![event_type],
-        troubles: vec![trouble(outage.what, BEGINS_S, outage.lasts_s, 0.0, 0.5)],
+        faults: vec![trouble(outage.what, BEGINS_S, outage.lasts_s, 0.0, 0.5)],
         ..World::default()
     }
 }
@@ -65,17 +65,17 @@
 }
 
 fn play_days(senders: usize, outage: &Outage, seeds: std::ops::RangeInclusive<u64>) -> Counts {
-    let maker = baselines::named("module").expect("the module is a policy");
+    let maker = baselines::factory_by_name("module").expect("the module is a policy");
     let mut counts = Counts::default();
     for seed in seeds {
         let mut returns = 0;
-        let mut watch = |line: &scalebarrow_emulator::events::Line| {
-            returns += usize::from(matches!(line.what, Event::OutageEnded { .. }));
+        let mut watch = |line: &scalebarrow_emulator::events::LogEntry| {
+            returns += usize::from(matches!(line.event, LogEvent::OutageEnded { .. }));
         };
         let report = run(&world(senders, outage), seed, &maker, &mut watch).expect("the world can be played");
         counts.returns += returns;
         counts.falls += report.counts.falls;
-        let broken = report.broken.iter().filter(|b| b.rule == Rule::Returns);
+        let broken = report.violations.iter().filter(|b| b.rule == Rule::Returns);
         counts.breaches.extend(broken.map(|b| format!("{} {seed}: {}", outage.name, b.text)));
     }
     counts
@@ -102,24 +102,24 @@
 /// The day that showed it: few calls a second for each destination, many senders, a long outage.
 #[test]
 fn a_long_outage_that_many_senders_saw_ends_without_a_rush() {
-    let kind = Kind {
+    let kind = DestinationKind {
         name: "plain".into(),
         headroom: 1.5,
         queue: 16,
         service: spread(0.1, Shape::Lognormal, 0.8),
-        ..Kind::default()
+        ..DestinationKind::default()
     };
     let world = World {
         senders: Senders { count: 140, ..Senders::default() },
         clients: Clients { rate: 1_000.0, ..Clients::default() },
         destinations: Destinations { count: 1_000, ..Destinations::default() },
-        kinds: vec![kind],
+        destination_kinds: vec![kind],
         event_types: vec![EventType { name: "order".into(), ..EventType::default() }],
-        troubles: vec![trouble(What::Down, 5.0, 50.0, 0.0, 0.013)],
+        faults: vec![trouble(FaultKind::Down, 5.0, 50.0, 0.0, 0.013)],
         ..World::default()
     };
     for seed in 1..=2 {
         let report = helpers::play(&world, seed, "module");
-        assert_eq!(report.broken, [], "seed {seed}");
+        assert_eq!(report.violations, [], "seed {seed}");
     }
 }
--- a/crates/emulator/tests/theory.rs
+++ b/crates/emulator/tests/theory.rs
@@ -2,7 +2,7 @@
 
 mod helpers;
 use helpers::{play, queue, spread};
-use scalebarrow_emulator::chance::{Shape, Spread};
+use scalebarrow_emulator::random::{Shape, Spread};
 
 /// The mean wait of M/M/c: Erlang's C, the chance to wait, over the spare capacity.
 fn erlang_wait(rate: f64, mean: f64, workers: u32) -> f64 {
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,6 +1,6 @@
 //! An experiment file: a world, what plays it, and what is varied. Read as TOML; a fault names file, line and field.
 
-use scalebarrow_emulator::baselines::{NAMES, named};
+use scalebarrow_emulator::baselines::{POLICY_NAMES, factory_by_name};
 use scalebarrow_emulator::{Rule, World};
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
@@ -97,8 +97,8 @@
 
     fn check(&self) -> Result<(), (String, String)> {
         for (field, policy) in [("policy", &self.policy), ("baseline", &self.baseline)] {
-            if named(policy).is_none() {
-                return Err((field.into(), format!("{policy:?} is none of {}", NAMES.join(", "))));
+            if factory_by_name(policy).is_none() {
+                return Err((field.into(), format!("{policy:?} is none of {}", POLICY_NAMES.join(", "))));
             }
         }
         if self.seeds == 0 {
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -5,8 +5,8 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use rand::RngExt;
 use rayon::prelude::*;
-use scalebarrow_emulator::chance::{Generator, generator};
-use scalebarrow_emulator::spec::{Struck, Trouble, What, World};
+use scalebarrow_emulator::random::{Generator, generator};
+use scalebarrow_emulator::spec::{FaultKind, FaultSpec, FaultTarget, World};
 use scalebarrow_emulator::{Report, Rule};
 use std::sync::atomic::Ordering;
 
@@ -28,43 +28,50 @@
 }
 
 /// Sorts of trouble that a hunt draws from, with the least and greatest size.
-const SORTS: [(What, f64, f64); 22] = [
-    (What::Down, 0.0, 0.0),
-    (What::Silent, 0.0, 0.0),
-    (What::Hang, 0.0, 0.0),
-    (What::Slow, 2.0, 12.0),
-    (What::Errors, 0.2, 1.0),
-    (What::Pauses, 0.05, 0.6),
-    (What::Shut, 0.0, 0.0),
-    (What::Limit, 0.1, 0.8),
-    (What::Loss, 0.01, 0.2),
-    (What::Delay, 0.05, 0.5),
-    (What::Resets, 0.02, 0.3),
-    (What::StallOut, 0.0, 0.0),
-    (What::StallBack, 0.0, 0.0),
-    (What::SlowConnect, 0.1, 1.5),
-    (What::Forgets, 0.2, 3.0),
-    (What::ListLate, 1.0, 8.0),
-    (What::ListRefused, 0.0, 0.0),
-    (What::ListWrong, 0.3, 3.0),
-    (What::Drain, 0.0, 0.0),
-    (What::Kill, 0.0, 0.0),
-    (What::Restart, 0.2, 2.0),
-    (What::Surge, 1.2, 3.0),
+const SORTS: [(FaultKind, f64, f64); 22] = [
+    (FaultKind::Down, 0.0, 0.0),
+    (FaultKind::Silent, 0.0, 0.0),
+    (FaultKind::Hang, 0.0, 0.0),
+    (FaultKind::Slow, 2.0, 12.0),
+    (FaultKind::Errors, 0.2, 1.0),
+    (FaultKind::Pauses, 0.05, 0.6),
+    (FaultKind::Shut, 0.0, 0.0),
+    (FaultKind::Limit, 0.1, 0.8),
+    (FaultKind::Loss, 0.01, 0.2),
+    (FaultKind::Delay, 0.05, 0.5),
+    (FaultKind::Resets, 0.02, 0.3),
+    (FaultKind::StallOut, 0.0, 0.0),
+    (FaultKind::StallBack, 0.0, 0.0),
+    (FaultKind::SlowConnect, 0.1, 1.5),
+    (FaultKind::Forgets, 0.2, 3.0),
+    (FaultKind::ListLate, 1.0, 8.0),
+    (FaultKind::ListRefused, 0.0, 0.0),
+    (FaultKind::ListWrong, 0.3, 3.0),
+    (FaultKind::Drain, 0.0, 0.0),
+    (FaultKind::Kill, 0.0, 0.0),
+    (FaultKind::Restart, 0.2, 2.0),
+    (FaultKind::Surge, 1.2, 3.0),
 ];
 
-fn trouble(length: f64, with: &mut Generator) -> Trouble {
-    let (what, least, most) = SORTS[with.random_range(0..SORTS.len())];
+fn trouble(length: f64, with: &mut Generator) -> FaultSpec {
+    let (kind, least, most) = SORTS[with.random_range(0..SORTS.len())];
     let size: f64 = least + (most - least) * with.random::<f64>();
-    let at_s = length * 0.8 * with.random::<f64>();
-    let for_s = (0.5 + length * 0.35 * with.random::<f64>()).max(size);
-    let part = if with.random::<f64>() < 0.3 { 0.0 } else { 0.1 + 0.8 * with.random::<f64>() };
-    let extra = if what == What::Pauses { size * (2.0 + 6.0 * with.random::<f64>()) } else { 0.0 };
+    let start_s = length * 0.8 * with.random::<f64>();
+    let duration_s = (0.5 + length * 0.35 * with.random::<f64>()).max(size);
+    let share = if with.random::<f64>() < 0.3 { 0.0 } else { 0.1 + 0.8 * with.random::<f64>() };
+    let period_s = if kind == FaultKind::Pauses { size * (2.0 + 6.0 * with.random::<f64>()) } else { 0.0 };
     // Rounded, so that a file that people read holds short figures.
     let round = |x: f64| (x * 100.0).round() / 100.0;
-    let (at_s, for_s) = (round(at_s), (for_s * 100.0).ceil() / 100.0);
-    let on = Struck { part: round(part), ..Struck::default() };
-    Trouble { what, at_s, for_s, size: round(size), extra: (extra * 100.0).ceil() / 100.0, on }
+    let (start_s, duration_s) = (round(start_s), (duration_s * 100.0).ceil() / 100.0);
+    let target = FaultTarget { share: round(share), ..FaultTarget::default() };
+    FaultSpec {
+        kind,
+        start_s,
+        duration_s,
+        size: round(size),
+        period_s: (period_s * 100.0).ceil() / 100.0,
+        target,
+    }
 }
 
 /// A day drawn by chance round the experiment's world.
@@ -75,13 +82,13 @@
     e.seed = seed;
     let w = &mut e.world;
     for _ in 0..with.random_range(1..=4) {
-        w.troubles.push(trouble(w.day.length_s, &mut with));
+        w.faults.push(trouble(w.day.length_s, &mut with));
     }
     w.senders.count = with.random_range(1..=w.senders.count);
-    w.troubles.iter_mut().for_each(|t| t.on.senders.retain(|s| *s < w.senders.count));
+    w.faults.iter_mut().for_each(|t| t.target.senders.retain(|s| *s < w.senders.count));
     // Half the days on a grid, where many events come at one instant, in some order.
     if with.random::<bool>() {
-        (w.day.tick_us, w.day.order) =
+        (w.day.tick_us, w.day.shuffle_seed) =
             ([100, 1_000, 5_000][with.random_range(0..3)], with.random_range(1..1_000));
     }
     e
@@ -90,7 +97,7 @@
 fn shown(ours: &Report, theirs: Option<&Report>) -> Shown {
     // A baseline that breaks a rule has no value to be measured against, but tells what was there to be had.
     let loss = theirs.map_or(0.0, |t| t.value - ours.value);
-    Shown { rule: ours.broken.first().map(|b| b.rule), loss, hash: ours.hash }
+    Shown { rule: ours.violations.first().map(|b| b.rule), loss, hash: ours.hash }
 }
 
 /// Plays a day of a hunt.
@@ -121,9 +128,9 @@
             all.push(less);
         }
     };
-    for i in 0..e.world.troubles.len() {
+    for i in 0..e.world.faults.len() {
         with(&|w| {
-            w.troubles.remove(i);
+            w.faults.remove(i);
         });
     }
     for senders in [1, e.world.senders.count / 2, e.world.senders.count - 1] {
@@ -142,15 +149,15 @@
     for part in [0.5, 0.75, 0.9] {
         with(&|w| w.day.length_s = (w.day.length_s * part * 10.0).ceil() / 10.0);
     }
-    with(&|w| (w.day.order, w.day.tick_us) = (0, 0));
-    with(&|w| w.day.order = 0);
+    with(&|w| (w.day.shuffle_seed, w.day.tick_us) = (0, 0));
+    with(&|w| w.day.shuffle_seed = 0);
     with(&|w| w.clients.clump_share = 0.0);
-    with(&|w| (w.clients.withdraw, w.clients.short) = (0.0, 0.0));
-    with(&|w| w.kinds.truncate(1));
+    with(&|w| (w.clients.withdraw_share, w.clients.short_ttl_share) = (0.0, 0.0));
+    with(&|w| w.destination_kinds.truncate(1));
     with(&|w| w.event_types.truncate(1));
     with(&|w| w.clients.rate = (w.clients.rate * 0.5).max(0.1));
-    for i in 0..e.world.troubles.len() {
-        with(&|w| w.troubles[i].for_s = (w.troubles[i].for_s * 50.0).ceil() / 100.0);
+    for i in 0..e.world.faults.len() {
+        with(&|w| w.faults[i].duration_s = (w.faults[i].duration_s * 50.0).ceil() / 100.0);
     }
     all
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -179,7 +179,7 @@
 }
 
 fn known(policy: &str) -> Result<(), String> {
-    let names = scalebarrow_emulator::baselines::NAMES;
+    let names = scalebarrow_emulator::baselines::POLICY_NAMES;
     if names.contains(&policy) {
         Ok(())
     } else {
@@ -276,7 +276,7 @@
                 "made smaller over {played} days: {} senders, {} destinations, {} troubles, {} s; `replay {}` plays it",
                 small.world.senders.count,
                 small.world.destinations.count,
-                small.world.troubles.len(),
+                small.world.faults.len(),
                 small.world.day.length_s,
                 out.display()
             );
@@ -304,7 +304,7 @@
             if let (Some(p), Some(e)) = (&events, failed.or(flushed.err())) {
                 return Err(at(p, e));
             }
-            for b in &report.broken {
+            for b in &report.violations {
                 println!("{:>9.3} s {:?}: {}", b.at_s, b.rule, b.text);
             }
             let same = format!("{:016x}", report.hash) == found.hash;
@@ -319,7 +319,7 @@
                     "not the day that was found: policy or model have changed"
                 }
             );
-            Ok(report.broken.is_empty())
+            Ok(report.violations.is_empty())
         }
         Command::Fleet { span, dir } => {
             print!("{}", fleet::count(&dir, span)?.table());
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -4,10 +4,10 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
 use scalebarrow::{ActionSink, ListUpdate, ListedEndpoint, Outcome};
-use scalebarrow_emulator::baselines::named;
-use scalebarrow_emulator::events::Line;
-use scalebarrow_emulator::policy::{Policy, Start};
-use scalebarrow_emulator::{Breach, Counts, Report, Window, run};
+use scalebarrow_emulator::baselines::factory_by_name;
+use scalebarrow_emulator::events::LogEntry;
+use scalebarrow_emulator::policy::{Policy, SenderStart};
+use scalebarrow_emulator::{Counts, Report, Violation, Window, run};
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -43,45 +43,47 @@
 }
 
 impl Policy for Timed {
-    fn list(&mut self, now: f64, mode: ListUpdate, entries: &[ListedEndpoint], out: &mut dyn ActionSink) {
+    fn update_list(
+        &mut self, now: f64, mode: ListUpdate, entries: &[ListedEndpoint], out: &mut dyn ActionSink,
+    ) {
         // A list is no matter of the cost of a decision: it has a figure of its own.
         let began = Instant::now();
-        self.policy.list(now, mode, entries, out);
+        self.policy.update_list(now, mode, entries, out);
         let took = self.took.get();
         self.took.set(Took { list: took.list.max(began.elapsed()), ..took });
     }
-    fn webhook(
+    fn accept(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, key: Option<&str>, customer: Option<&str>,
         left: f64, out: &mut dyn ActionSink,
     ) {
-        self.time(|p| p.webhook(now, id, event_type, dest, key, customer, left, out));
+        self.time(|p| p.accept(now, id, event_type, dest, key, customer, left, out));
     }
-    fn resumed(
+    fn resume(
         &mut self, now: f64, id: u64, event_type: &str, dest: u64, key: Option<&str>, customer: Option<&str>,
         left: f64, tries: u32, ran: Option<(&str, f64)>, out: &mut dyn ActionSink,
     ) {
-        self.time(|p| p.resumed(now, id, event_type, dest, key, customer, left, tries, ran, out));
+        self.time(|p| p.resume(now, id, event_type, dest, key, customer, left, tries, ran, out));
     }
-    fn closing(&mut self, now: f64, by: f64, out: &mut dyn ActionSink) {
-        self.time(|p| p.closing(now, by, out));
+    fn begin_shutdown(&mut self, now: f64, by: f64, out: &mut dyn ActionSink) {
+        self.time(|p| p.begin_shutdown(now, by, out));
     }
-    fn may_go(&self, now: f64, id: u64, ep: &str) -> bool {
-        self.policy.may_go(now, id, ep)
+    fn may_send(&self, now: f64, id: u64, ep: &str) -> bool {
+        self.policy.may_send(now, id, ep)
     }
-    fn outcome(
+    fn attempt_ended(
         &mut self, now: f64, id: u64, ep: &str, outcome: Outcome, took: f64, ended: bool,
         report: Option<(f64, f64)>, out: &mut dyn ActionSink,
     ) {
-        self.time(|p| p.outcome(now, id, ep, outcome, took, ended, report, out));
+        self.time(|p| p.attempt_ended(now, id, ep, outcome, took, ended, report, out));
     }
-    fn told_wait(&mut self, now: f64, ep: &str, wait: f64, out: &mut dyn ActionSink) {
-        self.time(|p| p.told_wait(now, ep, wait, out));
+    fn wait_requested(&mut self, now: f64, ep: &str, wait: f64, out: &mut dyn ActionSink) {
+        self.time(|p| p.wait_requested(now, ep, wait, out));
     }
-    fn withdrawn(&mut self, now: f64, id: u64, out: &mut dyn ActionSink) {
-        self.time(|p| p.withdrawn(now, id, out));
+    fn withdraw(&mut self, now: f64, id: u64, out: &mut dyn ActionSink) {
+        self.time(|p| p.withdraw(now, id, out));
     }
-    fn woken(&mut self, now: f64, handle: u64, out: &mut dyn ActionSink) {
-        self.time(|p| p.woken(now, handle, out));
+    fn wake(&mut self, now: f64, handle: u64, out: &mut dyn ActionSink) {
+        self.time(|p| p.wake(now, handle, out));
     }
 }
 
@@ -92,12 +94,12 @@
 
 /// Plays one day and measures what the policy took of it, and the whole in seconds.
 pub fn day(
-    e: &Experiment, policy: &str, seed: u64, watch: &mut dyn FnMut(&Line),
+    e: &Experiment, policy: &str, seed: u64, watch: &mut dyn FnMut(&LogEntry),
 ) -> Result<(Report, Took, f64), String> {
-    let make = named(policy).ok_or_else(|| format!("no policy is called {policy:?}"))?;
+    let make = factory_by_name(policy).ok_or_else(|| format!("no policy is called {policy:?}"))?;
     let took = TOOK.with(Rc::clone);
     took.set(Took::default());
-    let maker = move |start: Start| -> Box<dyn Policy> {
+    let maker = move |start: SenderStart| -> Box<dyn Policy> {
         Box::new(Timed { policy: make(start), took: TOOK.with(Rc::clone) })
     };
     let began = Instant::now();
@@ -121,7 +123,7 @@
     pub counts: Counts,
     pub windows: Vec<Window>,
     pub little_holds: bool,
-    pub broken: Vec<Breach>,
+    pub broken: Vec<Violation>,
     pub lines: Vec<String>,
     /// Of this machine: seconds for the day, for the policy's part of it, and microseconds an input.
     pub wall_s: f64,
@@ -159,8 +161,8 @@
             little_holds: r.little_holds(),
             counts: r.counts,
             windows: r.windows,
-            broken: r.broken,
-            lines: r.lines,
+            broken: r.violations,
+            lines: r.policy_messages,
             wall_s,
             policy_s,
         })
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -180,7 +180,8 @@
         let many = rows.iter().map(|r| r.windows.len()).max().unwrap_or(0);
         let at = |i: usize| {
             let seen = || rows.iter().filter_map(move |r| r.windows.get(i));
-            let (asked, won) = seen().fold((0.0, 0.0), |s, w| (s.0 + w.asked, s.1 + w.won));
+            let (asked, won) =
+                seen().fold((0.0, 0.0), |s, w| (s.0 + w.offered_value, s.1 + w.delivered_value));
             let t = seen().next().map_or(0.0, |w| w.at_s);
             (t, if asked > 0.0 { won / asked } else { f64::NAN })
         };
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::Experiment;
 use crate::play::Row;
-use scalebarrow_emulator::spec::What;
+use scalebarrow_emulator::spec::FaultKind;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -13,7 +13,7 @@
 /// Trouble of the day, for the shading of a plot.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Shade {
-    pub what: What,
+    pub what: FaultKind,
     pub from_s: f64,
     pub to_s: f64,
 }
@@ -92,7 +92,7 @@
             rejected: sum(&rows, |r| r.counts.rejected),
             dead_lettered: sum(&rows, |r| r.counts.dead_lettered),
             attempts: sum(&rows, |r| r.counts.attempts),
-            held_most: rows.iter().map(|r| r.counts.held_most).max().unwrap_or(0),
+            held_most: rows.iter().map(|r| r.counts.peak_queued).max().unwrap_or(0),
             inputs: sum(&rows, |r| r.counts.inputs),
             us_per_input: mean(&rows, |r| r.us_per_input),
             slowest_us: rows.iter().map(|r| r.slowest_us).fold(0.0, f64::max),
@@ -100,16 +100,16 @@
             events_per_s: sum(&rows, |r| r.counts.events) as f64 / rows.iter().map(|r| r.wall_s).sum::<f64>(),
             policy_share: mean(&rows, |r| r.policy_s / r.wall_s.max(1e-9)),
         };
-        let shade = |t: &scalebarrow_emulator::spec::Trouble| Shade {
-            what: t.what,
-            from_s: t.at_s,
-            to_s: t.at_s + t.for_s,
+        let shade = |t: &scalebarrow_emulator::spec::FaultSpec| Shade {
+            what: t.kind,
+            from_s: t.start_s,
+            to_s: t.start_s + t.duration_s,
         };
         Summary {
             experiment: e.name.clone(),
             about: e.about.clone(),
             simulated: true,
-            troubles: e.world.troubles.iter().map(shade).collect(),
+            troubles: e.world.faults.iter().map(shade).collect(),
             days: rows.len(),
             broken_days: rows.iter().filter(|r| !r.broken.is_empty()).count(),
             policies: groups.into_iter().map(line).collect(),
