--- a/crates/emulator/src/events.rs
+++ b/crates/emulator/src/events.rs
@@ -1,129 +1,179 @@
-//! The event log: what happened, as an onlooker writes it down. Rules are checked and days compared by it alone.
+//! The event log of a simulated day. The rules are checked, and days compared, by the log alone.
 
 use crate::queue::Nanos;
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// How an attempt ended, as its sender was told.
+/// How an attempt ended, as reported to its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub enum Told {
+pub enum AttemptResult {
+    /// The endpoint answered with success.
     Delivered,
+    /// The endpoint answered with an error; the webhook may have run.
     Failed,
+    /// Refused by a limit or a full queue, without running.
     Full,
+    /// No answer before the attempt's deadline.
     TimedOut,
+    /// No connection could be opened.
     ConnectFailed,
+    /// The connection broke; the webhook may have run.
     Reset,
+    /// The policy cancelled the attempt.
     Cancelled,
-    /// Never attempted: no slot was free, or the webhook was over.
+    /// Never attempted: no slot was free, the webhook had its final answer, or its attempts were used up.
     Moot,
-    /// Attempted, but not written: it might not go out any more when its connection was up.
+    /// Not written to its connection, since the policy no longer allowed it once the connection was open.
     HeldBack,
 }
 
-/// A final answer.
+/// The final answer to a webhook.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Final {
+pub enum FinalAnswer {
+    /// An endpoint confirmed it.
     Delivered,
+    /// The client may hand it in again without harm.
     Rejected,
+    /// Given up; it may have run.
     DeadLettered,
     /// The client withdrew it.
     Withdrawn,
-    /// Its sender was killed and had no journal; clients know what to do.
+    /// Its sender was killed and had no journal; the client decides whether to hand it in again.
     Gone,
 }
 
-/// What happened. Numbers are those of the world: webhooks from 1, all others from 0.
+/// What happened. Webhook ids count from 1, all other ids from 0; times are in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub enum LogEvent {
+    /// A sender's process started.
     Started {
-        sender: u32,
+        #[serde(rename = "sender")]
+        sender_id: u32,
     },
+    /// A sender's process was killed.
     Killed {
-        sender: u32,
+        #[serde(rename = "sender")]
+        sender_id: u32,
     },
-    /// A sender took a webhook on; `message` is the same each time that a client hands it in.
+    /// A sender accepted a webhook; `message_id` is the same each time that the client hands it in.
     Taken {
-        webhook: u64,
-        message: u64,
-        sender: u32,
-        event_type: u16,
-        dest: u32,
+        #[serde(rename = "webhook")]
+        webhook_id: u64,
+        #[serde(rename = "message")]
+        message_id: u64,
+        #[serde(rename = "sender")]
+        sender_id: u32,
+        #[serde(rename = "event_type")]
+        event_type_id: u16,
+        #[serde(rename = "dest")]
+        destination_id: u32,
         key: u64,
         ttl_at: Nanos,
     },
+    /// An attempt started.
     Attempt {
-        webhook: u64,
-        sender: u32,
-        ep: u32,
+        #[serde(rename = "webhook")]
+        webhook_id: u64,
+        #[serde(rename = "sender")]
+        sender_id: u32,
+        #[serde(rename = "ep")]
+        endpoint_id: u32,
     },
+    /// An attempt ended; `wait` is how long the endpoint asked the sender to wait (0: no request).
     Outcome {
-        webhook: u64,
-        sender: u32,
-        ep: u32,
-        told: Told,
+        #[serde(rename = "webhook")]
+        webhook_id: u64,
+        #[serde(rename = "sender")]
+        sender_id: u32,
+        #[serde(rename = "ep")]
+        endpoint_id: u32,
+        #[serde(rename = "told")]
+        result: AttemptResult,
         wait: Nanos,
     },
-    /// An answer told a wait when nobody waited for the answer any more.
+    /// A successful answer asked for a wait.
     Wait {
-        sender: u32,
-        ep: u32,
+        #[serde(rename = "sender")]
+        sender_id: u32,
+        #[serde(rename = "ep")]
+        endpoint_id: u32,
         wait: Nanos,
     },
-    /// An endpoint ran a webhook; `known` if it knew it for a repeat and dropped it.
+    /// An endpoint ran a webhook, or dropped it as a `duplicate` by its token.
     Ran {
-        webhook: u64,
-        ep: u32,
-        known: bool,
+        #[serde(rename = "webhook")]
+        webhook_id: u64,
+        #[serde(rename = "ep")]
+        endpoint_id: u32,
+        #[serde(rename = "known")]
+        duplicate: bool,
     },
+    /// A webhook got its final answer.
     End {
-        webhook: u64,
-        sender: u32,
-        end: Final,
+        #[serde(rename = "webhook")]
+        webhook_id: u64,
+        #[serde(rename = "sender")]
+        sender_id: u32,
+        #[serde(rename = "end")]
+        final_answer: FinalAnswer,
     },
-    /// A sender learned whether an endpoint takes new work.
+    /// A sender learned that an endpoint's readiness in the list changed.
     Listed {
-        sender: u32,
-        ep: u32,
+        #[serde(rename = "sender")]
+        sender_id: u32,
+        #[serde(rename = "ep")]
+        endpoint_id: u32,
         ready: bool,
     },
     /// A call reached an endpoint.
     Call {
-        sender: u32,
-        ep: u32,
+        #[serde(rename = "sender")]
+        sender_id: u32,
+        #[serde(rename = "ep")]
+        endpoint_id: u32,
     },
+    /// An endpoint went into an outage.
     OutageBegan {
-        ep: u32,
+        #[serde(rename = "ep")]
+        endpoint_id: u32,
     },
+    /// An endpoint came back from an outage.
     OutageEnded {
-        ep: u32,
+        #[serde(rename = "ep")]
+        endpoint_id: u32,
     },
-    /// A destination (or route) that came back cold was sent too much and fell over, by a call to this endpoint.
+    /// A cold destination (or route) was overloaded by a call to this endpoint and went down again.
     Fell {
-        ep: u32,
+        #[serde(rename = "ep")]
+        endpoint_id: u32,
     },
 }
 
-/// A line of the log.
+/// An entry of the event log.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct LogEntry {
+    /// Simulated time.
     pub at: Nanos,
+    /// What happened.
     #[serde(rename = "what")]
     pub event: LogEvent,
 }
 
-/// A number that is the same for the same lines in the same order: XXH3 over their postcard encoding.
+/// Hash of a log: XXH3 over the postcard encoding of its entries, so that equal days have equal hashes.
 #[derive(Default)]
 pub struct Digest(Xxh3Default);
 
 impl Digest {
-    pub fn add(&mut self, line: &LogEntry) {
-        let mut room = [0_u8; 96];
-        // No line is longer than 96 bytes: a number takes up ten at most.
-        if let Ok(bytes) = postcard::to_slice(line, &mut room) {
+    /// Adds an entry to the hash.
+    pub fn add(&mut self, entry: &LogEntry) {
+        let mut buffer = [0_u8; 96];
+        // No entry is longer than 96 bytes: postcard encodes an integer in at most ten.
+        if let Ok(bytes) = postcard::to_slice(entry, &mut buffer) {
             self.0.update(bytes);
         }
     }
 
+    /// The hash of the entries added so far.
     pub fn value(&self) -> u64 {
         self.0.digest()
     }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,10 +1,12 @@
-//! A model of what a sender serves: clients that hand webhooks in, senders that decide, destinations with limits and
-//! outages, the list of endpoints, and the network between them, played event by event in simulated time. No sockets,
-//! no files, no clock: a day is a value ([`World`]), a seed and a policy, and gives the same event log each time.
+//! A discrete-event model of clients that hand webhooks in, senders that deliver them, destinations with
+//! limits and outages, the endpoint list, and the network, in simulated time and without sockets, files or a
+//! clock.
 //!
-//! [`run`] plays a day; [`policy::decision_module`] is scalebarrow's decision module, [`baselines`] are what it is measured
-//! against. The rules are checked from the event log by [`rules`], which shares nothing with any policy. All figures are
-//! of simulated clients, senders and destinations.
+//! A day is one simulated run. It is given by its settings ([`World`]), a seed and a policy, and always
+//! produces the same event log. [`run()`] plays a day; [`policy::decision_module`] is scalebarrow's decision
+//! module, and [`baselines`] are policies to compare it with. [`rules`] checks the delivery rules from the
+//! event log and shares no code with any policy. All figures are of simulated clients, senders and
+//! destinations.
 
 pub mod baselines;
 pub mod events;
@@ -19,7 +21,7 @@
 mod run;
 pub mod spec;
 
-pub use measure::{Counts, Little, Window};
+pub use measure::{Counts, LittlesLaw, Window};
 pub use queue::{Nanos, nanos, seconds};
 pub use rules::{Rule, Violation};
 pub use run::{Report, run};
--- a/crates/emulator/src/measure.rs
+++ b/crates/emulator/src/measure.rs
@@ -1,147 +1,184 @@
-//! Figures of a day, taken as it is played.
+//! Figures of a day, recorded while it is played.
 
 use crate::queue::{Nanos, seconds};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// Time spent in a system, counted twice: as the number inside over time, and as the time of each that was inside.
-/// Little's law (L = lambda W) says that both are the same once all have left.
+/// Time spent in a system, measured in two ways: as the number inside integrated over time, and as the sum of
+/// the times that each one was inside. By Little's law (L = lambda W) both are equal once all have left.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Little {
+pub struct LittlesLaw {
     inside: u64,
-    since: Nanos,
-    /// The number inside, summed over time.
-    pub area: u128,
-    pub sojourns: u128,
-    pub left: u64,
+    #[serde(rename = "since")]
+    changed_at: Nanos,
+    /// The number inside, integrated over time, in nanoseconds.
+    #[serde(rename = "area")]
+    pub occupancy_time: u128,
+    /// The sum of the times inside, in nanoseconds.
+    #[serde(rename = "sojourns")]
+    pub sojourn_time: u128,
+    /// How many have left.
+    #[serde(rename = "left")]
+    pub departures: u64,
 }
 
-impl Little {
-    fn moved(&mut self, now: Nanos) {
-        self.area += u128::from(self.inside) * u128::from(now - self.since);
-        self.since = now;
+impl LittlesLaw {
+    /// Accounts for the time since the last change.
+    fn advance(&mut self, now: Nanos) {
+        self.occupancy_time += u128::from(self.inside) * u128::from(now - self.changed_at);
+        self.changed_at = now;
     }
 
+    /// One more is inside.
     pub fn enter(&mut self, now: Nanos) {
-        self.moved(now);
+        self.advance(now);
         self.inside += 1;
     }
 
-    pub fn leave(&mut self, now: Nanos, entered: Nanos) {
-        self.moved(now);
+    /// One that entered at `entered_at` has left.
+    pub fn leave(&mut self, now: Nanos, entered_at: Nanos) {
+        self.advance(now);
         self.inside = self.inside.saturating_sub(1);
-        self.sojourns += u128::from(now - entered);
-        self.left += 1;
+        self.sojourn_time += u128::from(now - entered_at);
+        self.departures += 1;
     }
 
-    /// Whether the law holds; it can only be said when nothing is inside.
+    /// Whether the law holds; true while any are inside, since the law applies only to an empty system.
     pub fn holds(&self) -> bool {
-        self.inside > 0 || self.area == self.sojourns
+        self.inside > 0 || self.occupancy_time == self.sojourn_time
     }
 
-    /// Mean seconds inside.
+    /// Mean time inside in seconds.
     pub fn mean_s(&self) -> f64 {
-        if self.left == 0 { 0.0 } else { self.sojourns as f64 / self.left as f64 / 1e9 }
+        if self.departures == 0 { 0.0 } else { self.sojourn_time as f64 / self.departures as f64 / 1e9 }
     }
 }
 
-/// One span of the day, by when webhooks were handed in for the first time.
+/// One window of the day. Values count in the window in which the message was first handed in.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Window {
+    /// When the window begins.
     pub at_s: f64,
+    /// Value of the messages handed in.
     #[serde(rename = "asked")]
     pub offered_value: f64,
+    /// Value of those that were delivered, by their latency.
     #[serde(rename = "won")]
     pub delivered_value: f64,
-    /// Webhooks that all senders held when the span ended.
+    /// Webhooks without final answer at all senders when the window ended.
     #[serde(rename = "held")]
     pub queued: u64,
-    /// Attempts that went out in the span.
+    /// Attempts started in the window.
     pub attempts: u64,
 }
 
 /// Counts of a day.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Counts {
+    /// Messages that clients created.
     pub messages: u64,
+    /// Webhooks that senders accepted.
     #[serde(rename = "taken")]
     pub accepted: u64,
-    /// Handed in while the sender was dead or full.
+    /// Hand-ins at a sender that was dead or full.
     #[serde(rename = "turned_away")]
     pub refused: u64,
+    /// Final answer: delivered.
     pub delivered: u64,
+    /// Final answer: rejected.
     pub rejected: u64,
+    /// Final answer: dead-lettered.
     pub dead_lettered: u64,
+    /// Final answer: withdrawn by the client.
     pub withdrawn: u64,
+    /// Attempts started.
     pub attempts: u64,
+    /// Calls started.
     pub calls: u64,
+    /// Connections opened.
     pub connections: u64,
+    /// Calls answered with an error.
     pub failed: u64,
+    /// Calls refused by a limit or a full queue.
     pub full: u64,
+    /// Calls without an answer before their deadline, and cancelled ones.
     pub timed_out: u64,
+    /// Calls whose connection could not be opened.
     pub connect_failed: u64,
-    /// Calls that might not go out any more when their connection was up.
+    /// Calls that the policy no longer allowed once their connection was open.
     pub held_back: u64,
+    /// Calls whose connection was reset.
     pub reset: u64,
-    /// Repeats that a destination knew and dropped.
+    /// Duplicates that a destination recognised and dropped.
     pub known_repeats: u64,
+    /// Overloads of cold destinations.
     pub falls: u64,
-    /// Inputs that the policies were given, and events that the model played.
+    /// Inputs that the policies got.
     pub inputs: u64,
+    /// Events that the model handled.
     pub events: u64,
-    /// Most webhooks that all senders held at once.
+    /// Most webhooks without final answer at all senders at once.
     #[serde(rename = "held_most")]
     pub peak_queued: u64,
 }
 
-pub struct Measures {
+/// The figures of a day in progress.
+pub struct Measurements {
+    /// Counts of the day.
     pub counts: Counts,
+    /// Figures over time.
     pub windows: Vec<Window>,
-    window: Nanos,
+    window_length: Nanos,
+    /// Value of all messages.
     pub offered_value: f64,
+    /// Value of all deliveries, by their latency.
     pub delivered_value: f64,
-    /// From when a webhook was first handed in until it was delivered, in microseconds.
+    /// From the first hand-in to the delivery, in microseconds.
     pub latency: Histogram<u64>,
-    /// Calls at endpoints, waiting included; and webhooks at senders.
-    pub at_endpoints: Little,
-    pub at_senders: Little,
-    /// Time that calls waited at endpoints before they were worked on.
-    pub waited: Little,
+    /// Calls at endpoints, waiting or worked on.
+    pub at_endpoints: LittlesLaw,
+    /// Webhooks at senders.
+    pub at_senders: LittlesLaw,
+    /// Calls waiting at endpoints before work on them starts.
+    pub queueing: LittlesLaw,
 }
 
-impl Measures {
-    pub fn new(length: Nanos, window: Nanos) -> Self {
-        let many = length.div_ceil(window.max(1)) as usize;
-        let at = |i| Window { at_s: seconds(i as u64 * window), ..Window::default() };
-        Measures {
+impl Measurements {
+    /// Figures of a day of this length, with windows of this length.
+    pub fn new(day_length: Nanos, window_length: Nanos) -> Self {
+        let window_count = day_length.div_ceil(window_length.max(1)) as usize;
+        let new_window = |index| Window { at_s: seconds(index as u64 * window_length), ..Window::default() };
+        Measurements {
             counts: Counts::default(),
-            windows: (0..many.max(1)).map(at).collect(),
-            window: window.max(1),
+            windows: (0..window_count.max(1)).map(new_window).collect(),
+            window_length: window_length.max(1),
             offered_value: 0.0,
             delivered_value: 0.0,
-            // 1 us to an hour, to three figures.
+            // From 1 us to 1 hour, with three significant digits.
             latency: Histogram::new_with_bounds(1, 3_600_000_000, 3)
                 .unwrap_or_else(|_| Histogram::new(3).unwrap()),
-            at_endpoints: Little::default(),
-            at_senders: Little::default(),
-            waited: Little::default(),
+            at_endpoints: LittlesLaw::default(),
+            at_senders: LittlesLaw::default(),
+            queueing: LittlesLaw::default(),
         }
     }
 
-    /// The span that an instant falls into; what comes after the day counts as its last.
-    pub fn at(&mut self, t: Nanos) -> &mut Window {
-        let last = self.windows.len() - 1;
-        &mut self.windows[((t / self.window) as usize).min(last)]
+    /// The window of an instant; what comes after the end of the day counts in the last one.
+    pub fn window_at(&mut self, at: Nanos) -> &mut Window {
+        let last_index = self.windows.len() - 1;
+        &mut self.windows[((at / self.window_length) as usize).min(last_index)]
     }
 
-    pub fn asked(&mut self, at: Nanos, value: f64) {
+    /// Records a message handed in for the first time.
+    pub fn record_offered(&mut self, at: Nanos, value: f64) {
         self.offered_value += value;
-        self.at(at).offered_value += value;
+        self.window_at(at).offered_value += value;
     }
 
-    pub fn won(&mut self, first_at: Nanos, now: Nanos, value: f64) {
+    /// Records a delivery.
+    pub fn record_delivered(&mut self, first_handed_in_at: Nanos, now: Nanos, value: f64) {
         self.delivered_value += value;
-        self.at(first_at).delivered_value += value;
-        self.latency.saturating_record(((now - first_at) / 1_000).max(1));
+        self.window_at(first_handed_in_at).delivered_value += value;
+        self.latency.saturating_record(((now - first_handed_in_at) / 1_000).max(1));
     }
 }
--- a/crates/emulator/src/rules.rs
+++ b/crates/emulator/src/rules.rs
@@ -1,381 +1,502 @@
-//! The six rules, checked from the event log alone. Nothing here knows how a policy decides or how the world plays:
-//! it reads lines and the figures that the rules name.
+//! Checks the six delivery rules against the event log. It reads log entries and the settings that the rules
+//! name, and shares no code with any policy or with the simulation of destinations.
 
-use crate::events::{Final, LogEntry, LogEvent, Told};
+use crate::events::{AttemptResult, FinalAnswer, LogEntry, LogEvent};
 use crate::fleet::Fleet;
 use crate::queue::{Nanos, nanos, seconds};
-use crate::spec::{Effect, World};
+use crate::spec::{RepeatEffect, World};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
+/// A delivery rule that every policy has to keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// One final answer in TTL, and nothing sent after it.
+    /// Each webhook gets exactly one final answer within its TTL, and is not sent after it.
     Lost,
-    /// No effect twice.
+    /// No webhook takes effect twice.
     Twice,
+    /// Nothing is sent to an endpoint that drains or has left the list.
     Drains,
-    /// A destination that returns is not pushed over.
+    /// A destination that returns from an outage is not overloaded by senders that saw the outage.
     Returns,
+    /// Webhooks with the same ordering key are sent one after another.
     Order,
+    /// Nothing is sent before the end of a wait that a destination asked for.
     Waits,
 }
 
-/// A rule broken, with when and by what.
+/// A broken rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Violation {
+    /// The broken rule.
     pub rule: Rule,
+    /// Simulated time in seconds.
     pub at_s: f64,
+    /// The webhook, sender and endpoint involved.
     pub text: String,
 }
 
-struct Kept {
-    sender: u32,
-    message: u64,
-    event_type: u16,
+/// An accepted webhook, as far as the log tells.
+struct WebhookState {
+    sender_id: u32,
+    message_id: u64,
+    event_type_id: u16,
     key: u64,
     ttl_at: Nanos,
-    /// The attempt that is out: endpoint and when.
-    out: Option<(u32, Nanos)>,
-    /// First attempt that may have run: zone and when it was sent.
-    ran: Option<(u16, Nanos)>,
-    ended: bool,
+    /// Endpoint and start time of the attempt in flight.
+    in_flight: Option<(u32, Nanos)>,
+    /// Zone and start time of the first attempt that may have run.
+    may_have_run: Option<(u16, Nanos)>,
+    has_final_answer: bool,
 }
 
-struct Type {
-    effect: Effect,
-    known: Nanos,
-    by_all: bool,
+/// What the rules need of an event type.
+struct EventTypeRules {
+    effect: RepeatEffect,
+    token_lifetime: Nanos,
+    token_shared_by_zones: bool,
     ordered: bool,
 }
 
-/// What a route shares limits and waits with.
-type Scope = (u32, Option<u32>);
+/// Endpoints that share limits, waits and outages: a destination, or one endpoint of it where each has its
+/// own limit.
+type RouteGroup = (u32, Option<u32>);
 
+/// The latest outage of a route group.
 #[derive(Default)]
 struct Outage {
-    /// Endpoints that are out.
-    out: u32,
-    began: Nanos,
-    back: Option<Nanos>,
-    calls: VecDeque<(Nanos, u32)>,
-    /// When a sender last saw a call go wrong there.
-    saw: BTreeMap<u32, Nanos>,
+    /// Endpoints in an outage now.
+    endpoints_down: u32,
+    began_at: Nanos,
+    ended_at: Option<Nanos>,
+    /// Time and sender of the calls within `overload_span`.
+    recent_calls: VecDeque<(Nanos, u32)>,
+    /// When each sender last saw a call fail there.
+    failure_seen_at: BTreeMap<u32, Nanos>,
 }
 
-pub struct Judge {
-    types: Vec<Type>,
-    scopes: Vec<Scope>,
+/// Checks log entries one by one and collects the violations.
+pub struct RuleChecker {
+    event_types: Vec<EventTypeRules>,
+    /// Route group of each endpoint.
+    groups: Vec<RouteGroup>,
+    /// Zone of each endpoint.
     zones: Vec<u16>,
-    grace: Nanos,
-    drain: Nanos,
-    fall: Nanos,
-    warm: Nanos,
-    rest: Nanos,
-    kept: Vec<Kept>,
-    /// How often a message took effect.
-    effects: Vec<u8>,
-    started: Vec<Option<Nanos>>,
-    /// Endpoints that a sender knows as drained or gone, since when.
-    drained: BTreeMap<(u32, u32), Nanos>,
-    waits: BTreeMap<(u32, Scope), Nanos>,
-    lines: BTreeMap<(u32, u64), VecDeque<u64>>,
-    rests: BTreeMap<(u32, u64), (Nanos, u64)>,
-    outages: BTreeMap<Scope, Outage>,
+    answer_grace: Nanos,
+    drain_grace: Nanos,
+    overload_span: Nanos,
+    warm_up: Nanos,
+    key_cooldown: Nanos,
+    /// By webhook id, which counts from 1.
+    webhooks: Vec<WebhookState>,
+    /// How often each message took effect.
+    effect_counts: Vec<u8>,
+    /// When each sender's process started; `None` while it is dead.
+    running_since: Vec<Option<Nanos>>,
+    /// Since when a sender knows an endpoint as draining or gone, by sender and endpoint.
+    unlisted_since: BTreeMap<(u32, u32), Nanos>,
+    /// By sender and route group.
+    waits_until: BTreeMap<(u32, RouteGroup), Nanos>,
+    /// Unfinished webhooks in order of acceptance, by sender and ordering key.
+    key_queues: BTreeMap<(u32, u64), VecDeque<u64>>,
+    /// End of the cooldown and the webhook that caused it, by sender and ordering key.
+    key_cooldowns: BTreeMap<(u32, u64), (Nanos, u64)>,
+    outages: BTreeMap<RouteGroup, Outage>,
     violations: Vec<Violation>,
-    more: u64,
+    /// Violations beyond those that are kept.
+    unlisted_violations: u64,
 }
 
-impl Judge {
+impl RuleChecker {
+    /// A checker for a day with this world and fleet.
     pub fn new(world: &World, fleet: &Fleet) -> Self {
-        let scope = |(e, ep): (usize, &crate::fleet::Endpoint)| {
-            let kind = fleet.destinations[ep.dest as usize].kind;
-            (ep.dest, world.destination_kinds[usize::from(kind)].apart.then_some(e as u32))
+        let route_group = |(index, endpoint): (usize, &crate::fleet::Endpoint)| {
+            let kind_id = fleet.destinations[endpoint.destination_id as usize].kind_id;
+            (
+                endpoint.destination_id,
+                world.destination_kinds[usize::from(kind_id)].independent_endpoints.then_some(index as u32),
+            )
         };
-        let kind = |t: &crate::spec::EventType| Type {
-            effect: t.effect,
-            known: nanos(t.known_s),
-            by_all: t.by_all,
-            ordered: t.ordered,
+        let event_type_rules = |event_type: &crate::spec::EventType| EventTypeRules {
+            effect: event_type.effect,
+            token_lifetime: nanos(event_type.token_lifetime_s),
+            token_shared_by_zones: event_type.token_shared_by_zones,
+            ordered: event_type.ordered,
         };
-        let r = &world.rules;
-        Judge {
-            types: world.event_types.iter().map(kind).collect(),
-            scopes: fleet.endpoints.iter().enumerate().map(scope).collect(),
-            zones: fleet.endpoints.iter().map(|e| e.zone).collect(),
-            grace: nanos(r.answer_grace_s),
-            drain: nanos(r.drain_grace_s),
-            fall: nanos(r.fall_s),
-            warm: nanos(r.warm_s),
-            rest: nanos(r.key_rest_s),
-            kept: Vec::new(),
-            effects: Vec::new(),
-            started: vec![None; world.senders.count],
-            drained: BTreeMap::new(),
-            waits: BTreeMap::new(),
-            lines: BTreeMap::new(),
-            rests: BTreeMap::new(),
+        let settings = &world.rules;
+        RuleChecker {
+            event_types: world.event_types.iter().map(event_type_rules).collect(),
+            groups: fleet.endpoints.iter().enumerate().map(route_group).collect(),
+            zones: fleet.endpoints.iter().map(|endpoint| endpoint.zone).collect(),
+            answer_grace: nanos(settings.answer_grace_s),
+            drain_grace: nanos(settings.drain_grace_s),
+            overload_span: nanos(settings.overload_span_s),
+            warm_up: nanos(settings.warm_up_s),
+            key_cooldown: nanos(settings.key_cooldown_s),
+            webhooks: Vec::new(),
+            effect_counts: Vec::new(),
+            running_since: vec![None; world.senders.count],
+            unlisted_since: BTreeMap::new(),
+            waits_until: BTreeMap::new(),
+            key_queues: BTreeMap::new(),
+            key_cooldowns: BTreeMap::new(),
             outages: BTreeMap::new(),
             violations: Vec::new(),
-            more: 0,
+            unlisted_violations: 0,
         }
     }
 
-    fn breaks(&mut self, rule: Rule, at: Nanos, text: String) {
-        // A few of each rule say what is wrong; a policy that breaks one always would fill the memory.
-        if self.violations.iter().filter(|b| b.rule == rule).count() < 20 {
+    /// Keeps a violation for the report.
+    fn record_violation(&mut self, rule: Rule, at: Nanos, text: String) {
+        // Twenty of each rule are enough to see what is wrong; a policy that always breaks one would fill the
+        // memory.
+        if self.violations.iter().filter(|violation| violation.rule == rule).count() < 20 {
             self.violations.push(Violation { rule, at_s: seconds(at), text });
         } else {
-            self.more += 1;
+            self.unlisted_violations += 1;
         }
     }
 
-    pub fn see(&mut self, line: &LogEntry) {
-        let now = line.at;
-        match line.event {
-            LogEvent::Started { sender } => self.started[sender as usize] = Some(now),
-            LogEvent::Killed { sender } => self.killed(now, sender),
-            LogEvent::Taken { webhook, message, sender, event_type, key, ttl_at, .. } => {
-                debug_assert_eq!(self.kept.len() as u64 + 1, webhook);
-                let kept =
-                    Kept { sender, message, event_type, key, ttl_at, out: None, ran: None, ended: false };
-                self.kept.push(kept);
-                let messages = self.effects.len().max(message as usize + 1);
-                self.effects.resize(messages, 0);
-                if self.types[usize::from(event_type)].ordered {
-                    self.lines.entry((sender, key)).or_default().push_back(webhook);
+    /// Checks the next entry of the log.
+    pub fn check_entry(&mut self, entry: &LogEntry) {
+        let now = entry.at;
+        match entry.event {
+            LogEvent::Started { sender_id } => self.running_since[sender_id as usize] = Some(now),
+            LogEvent::Killed { sender_id } => self.record_kill(now, sender_id),
+            LogEvent::Taken { webhook_id, message_id, sender_id, event_type_id, key, ttl_at, .. } => {
+                debug_assert_eq!(self.webhooks.len() as u64 + 1, webhook_id);
+                let state = WebhookState {
+                    sender_id,
+                    message_id,
+                    event_type_id,
+                    key,
+                    ttl_at,
+                    in_flight: None,
+                    may_have_run: None,
+                    has_final_answer: false,
+                };
+                self.webhooks.push(state);
+                let messages = self.effect_counts.len().max(message_id as usize + 1);
+                self.effect_counts.resize(messages, 0);
+                if self.event_types[usize::from(event_type_id)].ordered {
+                    self.key_queues.entry((sender_id, key)).or_default().push_back(webhook_id);
                 }
             }
-            LogEvent::Attempt { webhook, sender, ep } => self.attempt(now, webhook, sender, ep),
-            LogEvent::Outcome { webhook, sender, ep, told, wait } => {
-                self.outcome(now, webhook, sender, ep, told);
+            LogEvent::Attempt { webhook_id, sender_id, endpoint_id } => {
+                self.check_attempt(now, webhook_id, sender_id, endpoint_id)
+            }
+            LogEvent::Outcome { webhook_id, sender_id, endpoint_id, result, wait } => {
+                self.record_outcome(now, webhook_id, sender_id, endpoint_id, result);
                 if wait > 0 {
-                    self.wait(now + wait, sender, ep);
+                    self.set_wait(now + wait, sender_id, endpoint_id);
                 }
             }
-            LogEvent::Wait { sender, ep, wait } => self.wait(now + wait, sender, ep),
-            LogEvent::Ran { webhook, ep, known } => self.ran(now, webhook, ep, known),
-            LogEvent::End { webhook, sender, end } => self.ends(now, webhook, sender, end),
-            LogEvent::Listed { sender, ep, ready: true } => {
-                self.drained.remove(&(sender, ep));
+            LogEvent::Wait { sender_id, endpoint_id, wait } => {
+                self.set_wait(now + wait, sender_id, endpoint_id)
+            }
+            LogEvent::Ran { webhook_id, endpoint_id, duplicate } => {
+                self.check_run(now, webhook_id, endpoint_id, duplicate)
+            }
+            LogEvent::End { webhook_id, sender_id, final_answer } => {
+                self.check_final_answer(now, webhook_id, sender_id, final_answer)
+            }
+            LogEvent::Listed { sender_id, endpoint_id, ready: true } => {
+                self.unlisted_since.remove(&(sender_id, endpoint_id));
             }
-            LogEvent::Listed { sender, ep, ready: false } => {
-                self.drained.entry((sender, ep)).or_insert(now);
+            LogEvent::Listed { sender_id, endpoint_id, ready: false } => {
+                self.unlisted_since.entry((sender_id, endpoint_id)).or_insert(now);
             }
-            LogEvent::OutageBegan { ep } => {
-                let o = self.outages.entry(self.scopes[ep as usize]).or_default();
-                o.began = if o.out == 0 { now } else { o.began };
-                o.out += 1;
+            LogEvent::OutageBegan { endpoint_id } => {
+                let outage = self.outages.entry(self.groups[endpoint_id as usize]).or_default();
+                outage.began_at = if outage.endpoints_down == 0 { now } else { outage.began_at };
+                outage.endpoints_down += 1;
             }
-            LogEvent::OutageEnded { ep } => {
-                let o = self.outages.entry(self.scopes[ep as usize]).or_default();
-                o.out = o.out.saturating_sub(1);
-                o.back = Some(now);
+            LogEvent::OutageEnded { endpoint_id } => {
+                let outage = self.outages.entry(self.groups[endpoint_id as usize]).or_default();
+                outage.endpoints_down = outage.endpoints_down.saturating_sub(1);
+                outage.ended_at = Some(now);
             }
-            LogEvent::Call { sender, ep } => {
-                let (fall, warm) = (self.fall, self.warm);
-                let Some(o) = self.outages.get_mut(&self.scopes[ep as usize]) else { return };
-                if o.back.is_some_and(|b| now <= b + warm) {
-                    o.calls.push_back((now, sender));
-                    while o.calls.front().is_some_and(|c| c.0 + fall < now) {
-                        o.calls.pop_front();
+            LogEvent::Call { sender_id, endpoint_id } => {
+                let (overload_span, warm_up) = (self.overload_span, self.warm_up);
+                let Some(outage) = self.outages.get_mut(&self.groups[endpoint_id as usize]) else { return };
+                if outage.ended_at.is_some_and(|ended_at| now <= ended_at + warm_up) {
+                    outage.recent_calls.push_back((now, sender_id));
+                    while outage.recent_calls.front().is_some_and(|call| call.0 + overload_span < now) {
+                        outage.recent_calls.pop_front();
                     }
                 }
             }
-            LogEvent::Fell { ep } => self.fell(now, ep),
+            LogEvent::Fell { endpoint_id } => self.check_overload(now, endpoint_id),
         }
     }
 
-    fn wait(&mut self, until: Nanos, sender: u32, ep: u32) {
-        let w = self.waits.entry((sender, self.scopes[ep as usize])).or_default();
-        *w = (*w).max(until);
+    /// A sender has to wait before it sends to the route group of an endpoint again.
+    fn set_wait(&mut self, until: Nanos, sender_id: u32, endpoint_id: u32) {
+        let wait_until = self.waits_until.entry((sender_id, self.groups[endpoint_id as usize])).or_default();
+        *wait_until = (*wait_until).max(until);
     }
 
-    fn attempt(&mut self, now: Nanos, webhook: u64, sender: u32, ep: u32) {
-        let Some(k) = self.kept.get(webhook as usize - 1) else { return };
-        let t = &self.types[usize::from(k.event_type)];
-        let mut found = Vec::new();
-        if k.ended {
-            found.push((Rule::Lost, format!("webhook {webhook} was sent after its final answer")));
+    /// Checks an attempt when it starts.
+    fn check_attempt(&mut self, now: Nanos, webhook_id: u64, sender_id: u32, endpoint_id: u32) {
+        let Some(state) = self.webhooks.get(webhook_id as usize - 1) else { return };
+        let event_type = &self.event_types[usize::from(state.event_type_id)];
+        let mut violations = Vec::new();
+        if state.has_final_answer {
+            violations.push((Rule::Lost, format!("webhook {webhook_id} was sent after its final answer")));
         }
-        if k.out.is_some() {
-            found.push((Rule::Twice, format!("webhook {webhook} was sent while an attempt was out")));
+        if state.in_flight.is_some() {
+            violations
+                .push((Rule::Twice, format!("webhook {webhook_id} was sent while an attempt was in flight")));
         }
-        if let Some((zone, at)) = k.ran {
-            let why = match t.effect {
-                Effect::Idempotent => None,
-                Effect::AtMostOnce => Some("is at-most-once"),
-                Effect::Tokened if now > at + t.known => Some("is known no more"),
-                Effect::Tokened if !t.by_all && zone != self.zones[ep as usize] => {
-                    Some("is known in another zone")
+        if let Some((zone, at)) = state.may_have_run {
+            let harm = match event_type.effect {
+                RepeatEffect::Idempotent => None,
+                RepeatEffect::AtMostOnce => Some("is at-most-once"),
+                RepeatEffect::Tokened if now > at + event_type.token_lifetime => {
+                    Some("its token has expired")
                 }
-                Effect::Tokened => None,
+                RepeatEffect::Tokened
+                    if !event_type.token_shared_by_zones && zone != self.zones[endpoint_id as usize] =>
+                {
+                    Some("its token is known in another zone only")
+                }
+                RepeatEffect::Tokened => None,
             };
-            found.extend(
-                why.map(|why| {
-                    (Rule::Twice, format!("webhook {webhook} may have run, {why}, was sent again"))
-                }),
-            );
+            violations.extend(harm.map(|harm| {
+                (Rule::Twice, format!("webhook {webhook_id} may have run, {harm}, and was sent again"))
+            }));
         }
-        if self.drained.get(&(sender, ep)).is_some_and(|since| now > since + self.drain) {
-            found
-                .push((Rule::Drains, format!("sender {sender} sent to endpoint {ep}, which drains or left")));
+        if self
+            .unlisted_since
+            .get(&(sender_id, endpoint_id))
+            .is_some_and(|since| now > since + self.drain_grace)
+        {
+            violations.push((
+                Rule::Drains,
+                format!(
+                    "sender {sender_id} sent to endpoint {endpoint_id}, which drains or has left the list"
+                ),
+            ));
         }
-        let scope = self.scopes[ep as usize];
-        if self.waits.get(&(sender, scope)).is_some_and(|until| now < *until) {
-            found.push((
+        let route_group = self.groups[endpoint_id as usize];
+        if self.waits_until.get(&(sender_id, route_group)).is_some_and(|until| now < *until) {
+            violations.push((
                 Rule::Waits,
-                format!("sender {sender} sent to destination {} before its wait was over", scope.0),
+                format!(
+                    "sender {sender_id} sent to destination {} before the end of a requested wait",
+                    route_group.0
+                ),
             ));
         }
-        if t.ordered {
-            let line = self.lines.get(&(sender, k.key));
-            let mut before = line.into_iter().flatten().take_while(|w| **w != webhook);
-            let busy = |w: &&u64| {
-                let k = &self.kept[**w as usize - 1];
-                !k.ended || k.out.is_some()
+        if event_type.ordered {
+            let key_queue = self.key_queues.get(&(sender_id, state.key));
+            let mut earlier_webhooks =
+                key_queue.into_iter().flatten().take_while(|other| **other != webhook_id);
+            let unfinished = |webhook_id: &&u64| {
+                let state = &self.webhooks[**webhook_id as usize - 1];
+                !state.has_final_answer || state.in_flight.is_some()
             };
-            if let Some(earlier) = before.find(busy) {
-                found.push((
+            if let Some(earlier) = earlier_webhooks.find(unfinished) {
+                violations.push((
                     Rule::Order,
-                    format!("webhook {webhook} was sent before {earlier} of its key was over"),
+                    format!("webhook {webhook_id} was sent before webhook {earlier} of its key was finished"),
                 ));
             }
-            let rests = self.rests.get(&(sender, k.key));
-            if rests.is_some_and(|(until, by)| now < *until && *by != webhook) {
-                found.push((Rule::Order, format!("webhook {webhook} was sent while its key rested")));
+            let cooldown = self.key_cooldowns.get(&(sender_id, state.key));
+            if cooldown.is_some_and(|(until, cause)| now < *until && *cause != webhook_id) {
+                violations.push((
+                    Rule::Order,
+                    format!("webhook {webhook_id} was sent during the cooldown of its ordering key"),
+                ));
             }
         }
-        for (rule, text) in found {
-            self.breaks(rule, now, text);
+        for (rule, text) in violations {
+            self.record_violation(rule, now, text);
         }
-        self.kept[webhook as usize - 1].out = Some((ep, now));
+        self.webhooks[webhook_id as usize - 1].in_flight = Some((endpoint_id, now));
     }
 
-    fn outcome(&mut self, now: Nanos, webhook: u64, sender: u32, ep: u32, told: Told) {
-        if !matches!(told, Told::Delivered | Told::Moot | Told::HeldBack) {
-            self.outages.entry(self.scopes[ep as usize]).or_default().saw.insert(sender, now);
+    /// Records what the outcome of an attempt tells its sender.
+    fn record_outcome(
+        &mut self, now: Nanos, webhook_id: u64, sender_id: u32, endpoint_id: u32, result: AttemptResult,
+    ) {
+        if !matches!(result, AttemptResult::Delivered | AttemptResult::Moot | AttemptResult::HeldBack) {
+            self.outages
+                .entry(self.groups[endpoint_id as usize])
+                .or_default()
+                .failure_seen_at
+                .insert(sender_id, now);
         }
-        let Some(k) = self.kept.get_mut(webhook as usize - 1) else { return };
-        if told == Told::Moot {
+        let Some(state) = self.webhooks.get_mut(webhook_id as usize - 1) else { return };
+        if result == AttemptResult::Moot {
             return;
         }
-        let out = k.out.take();
-        let may_run = matches!(told, Told::Failed | Told::TimedOut | Told::Reset | Told::Cancelled);
-        if let Some((ep, at)) = out.filter(|_| may_run && k.ran.is_none()) {
-            k.ran = Some((self.zones[ep as usize], at));
+        let attempt = state.in_flight.take();
+        let outcome_may_have_run = matches!(
+            result,
+            AttemptResult::Failed | AttemptResult::TimedOut | AttemptResult::Reset | AttemptResult::Cancelled
+        );
+        if let Some((endpoint_id, at)) =
+            attempt.filter(|_| outcome_may_have_run && state.may_have_run.is_none())
+        {
+            state.may_have_run = Some((self.zones[endpoint_id as usize], at));
         }
-        let may_still = matches!(told, Told::TimedOut | Told::Reset | Told::Cancelled);
-        let (key, ended) = (k.key, k.ended);
-        if self.types[usize::from(k.event_type)].ordered {
-            if may_still {
-                self.rests.insert((sender, key), (now + self.rest, webhook));
+        let may_still_run =
+            matches!(result, AttemptResult::TimedOut | AttemptResult::Reset | AttemptResult::Cancelled);
+        let (key, has_final_answer) = (state.key, state.has_final_answer);
+        if self.event_types[usize::from(state.event_type_id)].ordered {
+            if may_still_run {
+                self.key_cooldowns.insert((sender_id, key), (now + self.key_cooldown, webhook_id));
             }
-            if ended {
-                self.out_of_line(sender, key, webhook);
+            if has_final_answer {
+                self.leave_key_queue(sender_id, key, webhook_id);
             }
         }
     }
 
-    fn out_of_line(&mut self, sender: u32, key: u64, webhook: u64) {
-        if let Some(line) = self.lines.get_mut(&(sender, key)) {
-            line.retain(|w| *w != webhook);
-            if line.is_empty() {
-                self.lines.remove(&(sender, key));
+    /// Removes a finished webhook from the queue of its ordering key.
+    fn leave_key_queue(&mut self, sender_id: u32, key: u64, webhook_id: u64) {
+        if let Some(key_queue) = self.key_queues.get_mut(&(sender_id, key)) {
+            key_queue.retain(|other| *other != webhook_id);
+            if key_queue.is_empty() {
+                self.key_queues.remove(&(sender_id, key));
             }
         }
     }
 
-    fn ran(&mut self, now: Nanos, webhook: u64, ep: u32, known: bool) {
-        let Some(k) = self.kept.get(webhook as usize - 1) else { return };
-        let (message, effect) = (k.message, self.types[usize::from(k.event_type)].effect);
-        if known || effect == Effect::Idempotent {
+    /// Checks a run at an endpoint for a second effect.
+    fn check_run(&mut self, now: Nanos, webhook_id: u64, endpoint_id: u32, duplicate: bool) {
+        let Some(state) = self.webhooks.get(webhook_id as usize - 1) else { return };
+        let (message_id, effect) =
+            (state.message_id, self.event_types[usize::from(state.event_type_id)].effect);
+        if duplicate || effect == RepeatEffect::Idempotent {
             return;
         }
-        let n = &mut self.effects[message as usize];
-        *n = n.saturating_add(1);
-        if *n == 2 {
-            self.breaks(
+        let effect_count = &mut self.effect_counts[message_id as usize];
+        *effect_count = effect_count.saturating_add(1);
+        if *effect_count == 2 {
+            self.record_violation(
                 Rule::Twice,
                 now,
-                format!("message {message} took effect a second time, at endpoint {ep}"),
+                format!("message {message_id} took effect a second time, at endpoint {endpoint_id}"),
             );
         }
     }
 
-    fn ends(&mut self, now: Nanos, webhook: u64, sender: u32, end: Final) {
-        let Some(k) = self.kept.get_mut(webhook as usize - 1) else { return };
-        if std::mem::replace(&mut k.ended, true) {
-            return self.breaks(Rule::Lost, now, format!("webhook {webhook} got a second final answer"));
+    /// Checks a final answer when it is given.
+    fn check_final_answer(&mut self, now: Nanos, webhook_id: u64, sender_id: u32, final_answer: FinalAnswer) {
+        let Some(state) = self.webhooks.get_mut(webhook_id as usize - 1) else { return };
+        if std::mem::replace(&mut state.has_final_answer, true) {
+            return self.record_violation(
+                Rule::Lost,
+                now,
+                format!("webhook {webhook_id} got a second final answer"),
+            );
         }
-        let (ttl_at, ran, out, key, event_type) =
-            (k.ttl_at, k.ran, k.out.is_some(), k.key, usize::from(k.event_type));
-        // One whose time ended while its sender was down is owed an answer at once when it is up again.
-        let up = self.started[sender as usize].unwrap_or(0);
-        let answers = matches!(end, Final::Delivered | Final::Rejected | Final::DeadLettered);
-        if answers && now > ttl_at.max(up) + self.grace {
-            let late = seconds(now - ttl_at);
-            self.breaks(
+        let (ttl_at, may_have_run, in_flight, key, event_type_id) = (
+            state.ttl_at,
+            state.may_have_run,
+            state.in_flight.is_some(),
+            state.key,
+            usize::from(state.event_type_id),
+        );
+        // A webhook whose TTL ended while its sender was dead has to be answered when the sender starts
+        // again.
+        let running_since = self.running_since[sender_id as usize].unwrap_or(0);
+        let answered = matches!(
+            final_answer,
+            FinalAnswer::Delivered | FinalAnswer::Rejected | FinalAnswer::DeadLettered
+        );
+        if answered && now > ttl_at.max(running_since) + self.answer_grace {
+            let late_s = seconds(now - ttl_at);
+            self.record_violation(
                 Rule::Lost,
                 now,
-                format!("webhook {webhook} got its final answer {late:.3} s after TTL"),
+                format!("webhook {webhook_id} got its final answer {late_s:.3} s after TTL"),
             );
         }
-        let t = &self.types[event_type];
-        let no_harm = t.effect == Effect::Idempotent || (t.effect == Effect::Tokened && t.by_all);
-        if end == Final::Rejected && (ran.is_some() || out) && !no_harm {
-            self.breaks(Rule::Twice, now, format!("webhook {webhook} may have run and was rejected"));
+        let event_type = &self.event_types[event_type_id];
+        let repeat_is_harmless = event_type.effect == RepeatEffect::Idempotent
+            || (event_type.effect == RepeatEffect::Tokened && event_type.token_shared_by_zones);
+        if final_answer == FinalAnswer::Rejected
+            && (may_have_run.is_some() || in_flight)
+            && !repeat_is_harmless
+        {
+            self.record_violation(
+                Rule::Twice,
+                now,
+                format!("webhook {webhook_id} may have run and was rejected"),
+            );
         }
-        if self.types[event_type].ordered && !out {
-            self.out_of_line(sender, key, webhook);
+        if self.event_types[event_type_id].ordered && !in_flight {
+            self.leave_key_queue(sender_id, key, webhook_id);
         }
     }
 
-    fn killed(&mut self, now: Nanos, sender: u32) {
-        self.started[sender as usize] = None;
-        let mut over = Vec::new();
-        for (i, k) in self.kept.iter_mut().enumerate().filter(|(_, k)| k.sender == sender) {
-            let Some((ep, at)) = k.out.take() else { continue };
-            k.ran = k.ran.or(Some((self.zones[ep as usize], at)));
-            if self.types[usize::from(k.event_type)].ordered {
-                self.rests.insert((sender, k.key), (now + self.rest, i as u64 + 1));
-                over.extend(k.ended.then_some((k.key, i as u64 + 1)));
+    /// A killed sender's attempts in flight may have run.
+    fn record_kill(&mut self, now: Nanos, sender_id: u32) {
+        self.running_since[sender_id as usize] = None;
+        let mut finished = Vec::new();
+        for (index, state) in
+            self.webhooks.iter_mut().enumerate().filter(|(_, state)| state.sender_id == sender_id)
+        {
+            let Some((endpoint_id, at)) = state.in_flight.take() else { continue };
+            state.may_have_run = state.may_have_run.or(Some((self.zones[endpoint_id as usize], at)));
+            if self.event_types[usize::from(state.event_type_id)].ordered {
+                self.key_cooldowns
+                    .insert((sender_id, state.key), (now + self.key_cooldown, index as u64 + 1));
+                finished.extend(state.has_final_answer.then_some((state.key, index as u64 + 1)));
             }
         }
-        over.into_iter().for_each(|(key, webhook)| self.out_of_line(sender, key, webhook));
+        finished.into_iter().for_each(|(key, webhook_id)| self.leave_key_queue(sender_id, key, webhook_id));
     }
 
-    fn fell(&mut self, now: Nanos, ep: u32) {
-        let scope = self.scopes[ep as usize];
-        let Some(o) = self.outages.get(&scope) else { return };
-        let all = o.calls.len();
-        let warned = o.calls.iter().filter(|c| o.saw.get(&c.1).is_some_and(|at| *at >= o.began)).count();
-        // Two thirds of the load, as the rule states.
-        if all > 0 && 3 * warned >= 2 * all {
+    /// An overloaded destination breaks the rule only if the load came from senders that knew of the outage.
+    fn check_overload(&mut self, now: Nanos, endpoint_id: u32) {
+        let route_group = self.groups[endpoint_id as usize];
+        let Some(outage) = self.outages.get(&route_group) else { return };
+        let total = outage.recent_calls.len();
+        let informed = outage
+            .recent_calls
+            .iter()
+            .filter(|call| {
+                outage.failure_seen_at.get(&call.1).is_some_and(|seen_at| *seen_at >= outage.began_at)
+            })
+            .count();
+        // The rule is broken where senders that saw the outage brought two thirds of the load.
+        if total > 0 && 3 * informed >= 2 * total {
             let text = format!(
-                "destination {} was pushed over, {warned} of {all} calls by senders that saw its outage",
-                scope.0
+                "destination {} was overloaded, {informed} of {total} calls by senders that saw its outage",
+                route_group.0
             );
-            self.breaks(Rule::Returns, now, text);
+            self.record_violation(Rule::Returns, now, text);
         }
     }
 
-    /// All rules broken, by time; what was never answered counts where its sender is up.
-    pub fn verdict(mut self, ended: Nanos) -> Vec<Violation> {
-        for i in 0..self.kept.len() {
-            let k = &self.kept[i];
-            let up = self.started[k.sender as usize];
-            if !k.ended && up.is_some_and(|up| ended > k.ttl_at.max(up) + self.grace) {
-                let at = k.ttl_at;
-                self.breaks(Rule::Lost, at, format!("webhook {} never got a final answer", i + 1));
+    /// All violations by time. An unanswered webhook is one only if its sender is running at the end.
+    pub fn into_violations(mut self, ended_at: Nanos) -> Vec<Violation> {
+        for index in 0..self.webhooks.len() {
+            let state = &self.webhooks[index];
+            let running_since = self.running_since[state.sender_id as usize];
+            if !state.has_final_answer
+                && running_since.is_some_and(|running_since| {
+                    ended_at > state.ttl_at.max(running_since) + self.answer_grace
+                })
+            {
+                let at = state.ttl_at;
+                self.record_violation(
+                    Rule::Lost,
+                    at,
+                    format!("webhook {} never got a final answer", index + 1),
+                );
             }
         }
         self.violations.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
-        if self.more > 0 {
-            let text = format!("{} further breaches are not listed", self.more);
-            let rule = self.violations.last().map_or(Rule::Lost, |b| b.rule);
-            self.violations.push(Violation { rule, at_s: seconds(ended), text });
+        if self.unlisted_violations > 0 {
+            let text = format!("{} further violations are not listed", self.unlisted_violations);
+            let rule = self.violations.last().map_or(Rule::Lost, |violation| violation.rule);
+            self.violations.push(Violation { rule, at_s: seconds(ended_at), text });
         }
         self.violations
     }
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -1,4 +1,4 @@
-//! A day, played event by event.
+//! Plays a simulated day event by event.
 
 mod calls;
 mod clients;
@@ -6,262 +6,256 @@
 mod faults;
 mod senders;
 
-use crate::events::{Digest, Final, LogEntry, LogEvent, Told};
+use crate::events::{AttemptResult, Digest, FinalAnswer, LogEntry, LogEvent};
 use crate::faults::Faults;
-use crate::fleet::{Fleet, Listed, work};
-use crate::host::{Act, Batch, Desk, Host};
-use crate::measure::{Counts, Little, Measures, Window};
+use crate::fleet::{Fleet, Listed, draw_work_s};
+use crate::host::{Action, ActionRecorder, Batch, Host};
+use crate::measure::{Counts, LittlesLaw, Measurements, Window};
 use crate::policy::{Policy, PolicyFactory, SenderStart};
 use crate::queue::{Nanos, Queue, mix, nanos, seconds};
 use crate::random::{Generator, Weighted, generator};
-use crate::rules::{Judge, Violation};
-use crate::spec::{Curve, Effect, FaultKind, World, WorldError};
+use crate::rules::{RuleChecker, Violation};
+use crate::spec::{Curve, FaultKind, RepeatEffect, World, WorldError};
 use hdrhistogram::Histogram;
 use rand::RngExt;
 use scalebarrow::{ListUpdate, ListedEndpoint, Outcome};
 
-/// Why the event of a call is no longer its own: places of calls are used again.
-type Place = (u32, u32);
+/// Id and generation of a call. Ids are reused; the generation tells events of an earlier call with the same
+/// id.
+type CallKey = (u32, u32);
 
+/// What happens next, in the queue by its time.
 enum Event {
-    /// A webhook may be handed in for the first time.
+    /// A candidate arrival, thinned to the current rate.
     Arrival,
-    Clumped {
-        dest: u32,
-    },
-    HandIn {
-        message: u64,
-        sender: u32,
-    },
-    Withdraw {
-        message: u64,
-    },
-    Flush {
-        sender: u32,
-    },
-    Wake {
-        sender: u32,
-        life: u32,
-        handle: u64,
-    },
-    Moot {
-        sender: u32,
-        life: u32,
-        webhook: u64,
-        ep: u32,
-        no_slot: bool,
-    },
-    /// A new connection is up.
-    Up {
-        call: Place,
-    },
-    Reached {
-        call: Place,
-    },
-    Served {
-        call: Place,
-    },
-    Answer {
-        call: Place,
-        told: Told,
-        wait: Nanos,
-        report: Option<(f64, f64)>,
-    },
-    Stop {
-        call: Place,
-    },
-    CalledOff {
-        call: Place,
-    },
-    News {
-        sender: u32,
-        life: u32,
-        mode: ListUpdate,
-        items: Vec<(u32, Listed)>,
-    },
-    Begin {
-        trouble: usize,
-    },
-    Finish {
-        trouble: usize,
-    },
-    Die {
-        sender: u32,
-        life: u32,
-    },
-    Recover {
-        ep: u32,
-    },
-    Sample {
-        window: usize,
-    },
+    /// A message of a clump arrives.
+    ClumpArrival { destination_id: u32 },
+    /// A message reaches a sender.
+    HandIn { message_id: u64, sender_id: u32 },
+    /// A client withdraws a message.
+    Withdraw { message_id: u64 },
+    /// A sender sends the attempts collected in this instant.
+    Flush { sender_id: u32 },
+    /// A policy is woken as it asked.
+    Wake { sender_id: u32, incarnation: u32, handle: u64 },
+    /// An attempt was not sent.
+    NotSent { sender_id: u32, incarnation: u32, webhook_id: u64, endpoint_id: u32, no_slot: bool },
+    /// A new connection is open.
+    Connected { call: CallKey },
+    /// A call reaches its endpoint.
+    Reached { call: CallKey },
+    /// A worker of an endpoint is done with a call.
+    WorkDone { call: CallKey },
+    /// An answer, or a failed connection, reaches the sender.
+    Answer { call: CallKey, result: AttemptResult, wait: Nanos, limit_report: Option<(f64, f64)> },
+    /// The deadline of a call is over.
+    TimedOut { call: CallKey },
+    /// A policy cancelled a call.
+    Cancelled { call: CallKey },
+    /// A list update reaches a sender.
+    ListUpdateReceived { sender_id: u32, incarnation: u32, update: ListUpdate, items: Vec<(u32, Listed)> },
+    /// An injected fault begins.
+    FaultBegins { fault_index: usize },
+    /// An injected fault ends.
+    FaultEnds { fault_index: usize },
+    /// A sender's planned shutdown is over.
+    Kill { sender_id: u32, incarnation: u32 },
+    /// An overloaded endpoint comes back.
+    EndpointRecovers { endpoint_id: u32 },
+    /// A window of the report ends.
+    Sample { window: usize },
 }
 
-/// What a client wants delivered; it keeps its name however often it is handed in.
+/// What a client wants delivered. It keeps its id, and becomes a new webhook each time a sender accepts it.
 struct Message {
-    event_type: u16,
-    dest: u32,
+    event_type_id: u16,
+    destination_id: u32,
     key: u64,
-    customer: Option<u16>,
-    first_at: Nanos,
+    customer_id: Option<u16>,
+    first_handed_in_at: Nanos,
     ttl_at: Nanos,
-    again: u32,
-    /// The webhook that it is now, or was last; 0 before.
-    webhook: u64,
-    over: bool,
+    /// Rejections that the client has answered by handing it in again.
+    resubmissions: u32,
+    /// The webhook it is now or was last; 0 before the first.
+    webhook_id: u64,
+    /// The client does no more with it.
+    settled: bool,
 }
 
-/// What a sender has taken on.
-struct Hook {
-    message: u64,
-    sender: u32,
-    taken_at: Nanos,
-    tries: u32,
-    /// First attempt that may have run: zone and time of sending.
-    ran: Option<(u16, Nanos)>,
-    call: Option<Place>,
-    ended: bool,
+/// A webhook that a sender accepted.
+struct AcceptedWebhook {
+    message_id: u64,
+    sender_id: u32,
+    accepted_at: Nanos,
+    attempts_made: u32,
+    /// Zone and start time of the first attempt that may have run.
+    may_have_run: Option<(u16, Nanos)>,
+    call: Option<CallKey>,
+    has_final_answer: bool,
 }
 
+/// A call in flight, or its reusable place.
 #[derive(Default)]
 struct Call {
-    turn: u32,
-    sender: u32,
-    ep: u32,
-    hooks: Vec<u64>,
+    generation: u32,
+    sender_id: u32,
+    endpoint_id: u32,
+    webhook_ids: Vec<u64>,
     sent_at: Nanos,
-    /// When it came to its endpoint, while it is there.
-    there: Option<Nanos>,
-    connected: bool,
-    /// It will be reset before it runs (1) or after (2).
-    reset: u8,
-    /// How its endpoint will answer, and whether it runs; which webhooks its endpoint knows as repeats.
+    /// When it arrived at its endpoint, while it is there.
+    arrived_at: Option<Nanos>,
+    /// Whether its connection counts at the endpoint and is not idle.
+    holds_connection: bool,
+    /// Never reset (0), reset before it runs (1), or after (2).
+    reset_stage: u8,
+    /// Whether its endpoint will answer with an error.
     fails: bool,
+    /// Whether its endpoint runs the webhooks.
     runs: bool,
-    known: Vec<bool>,
-    /// Nobody waits for it at the sender; nothing of it is left on the way or at the endpoint.
-    left: bool,
-    gone: bool,
+    /// For each webhook, whether its endpoint recognises it as a duplicate.
+    duplicates: Vec<bool>,
+    /// The sender no longer waits for it.
+    done_at_sender: bool,
+    /// Nothing of it is left on the network or at the endpoint.
+    done_at_endpoint: bool,
 }
 
 /// The result of a day. All figures are of simulated clients, senders and destinations.
 #[derive(Clone, Debug)]
 pub struct Report {
+    /// The seed that the day was played with.
     pub seed: u64,
-    /// The same for the same day, whatever played it.
+    /// Hash of the event log; equal days have equal hashes on any machine.
     pub hash: u64,
-    /// Value delivered as a share of value asked, over the day and in its worst span.
+    /// Delivered value as a share of the offered value, over the day.
     pub value: f64,
+    /// The same for the worst window.
     pub worst_window: f64,
+    /// Counts of the day.
     pub counts: Counts,
+    /// Figures over time.
     pub windows: Vec<Window>,
+    /// From the first hand-in to the delivery, in microseconds.
     pub latency: Histogram<u64>,
-    pub at_endpoints: Little,
-    pub waited: Little,
-    pub at_senders: Little,
+    /// Calls at endpoints, waiting or worked on.
+    pub at_endpoints: LittlesLaw,
+    /// Calls waiting at endpoints.
+    pub queueing: LittlesLaw,
+    /// Webhooks at senders.
+    pub at_senders: LittlesLaw,
+    /// Broken rules, by time.
     pub violations: Vec<Violation>,
-    /// First lines that policies wrote.
+    /// The first messages that policies logged.
     pub policy_messages: Vec<String>,
+    /// When the last event happened, in seconds.
     pub ended_at_s: f64,
 }
 
 impl Report {
-    /// Little's law at the endpoints, at their queues, and at the senders.
+    /// Whether Little's law holds at the endpoints, at their queues, and at the senders.
     pub fn little_holds(&self) -> bool {
-        self.at_endpoints.holds() && self.waited.holds() && self.at_senders.holds()
+        self.at_endpoints.holds() && self.queueing.holds() && self.at_senders.holds()
     }
 }
 
-struct Chances {
+/// The random generator of each part of the model.
+struct Generators {
     arrivals: Generator,
     clients: Generator,
-    front: Generator,
+    load_balancer: Generator,
     net: Generator,
     service: Generator,
     list: Generator,
 }
 
+/// A day in progress.
 struct Run<'a> {
     world: &'a World,
     seed: u64,
-    maker: &'a PolicyFactory<'a>,
-    watch: &'a mut dyn FnMut(&LogEntry),
+    policy_factory: &'a PolicyFactory<'a>,
+    observer: &'a mut dyn FnMut(&LogEntry),
     queue: Queue<Event>,
     fleet: Fleet,
     faults: Faults,
     hosts: Vec<Host>,
-    /// When clients know that a sender is dead.
-    noticed_at: Vec<Nanos>,
+    /// When the load balancer notices that a sender is dead.
+    death_noticed_at: Vec<Nanos>,
     messages: Vec<Message>,
-    hooks: Vec<Hook>,
+    webhooks: Vec<AcceptedWebhook>,
     calls: Vec<Call>,
-    free: Vec<u32>,
-    /// Endpoints in an outage.
-    out: Vec<bool>,
-    chance: Chances,
-    event_types_drawn: Weighted,
-    customers: Weighted,
-    top_rate: f64,
-    length: Nanos,
-    living: u64,
-    measures: Measures,
-    judge: Judge,
+    /// Ids in `calls` that can be reused.
+    free_calls: Vec<u32>,
+    /// Whether each endpoint is in an outage.
+    in_outage: Vec<bool>,
+    generators: Generators,
+    event_type_weights: Weighted,
+    customer_weights: Weighted,
+    /// The highest rate of arrivals per second that the day can have.
+    peak_rate: f64,
+    day_length: Nanos,
+    /// Messages that are not settled.
+    open_messages: u64,
+    measurements: Measurements,
+    rule_checker: RuleChecker,
     digest: Digest,
-    desk: Desk,
+    actions: ActionRecorder,
     policy_messages: Vec<String>,
 }
 
-/// Plays a day to its end. `watch` sees each line of the event log as it is written.
+/// Plays a day to its end. `observer` gets each entry of the event log as it is written.
 pub fn run(
-    world: &World, seed: u64, maker: &PolicyFactory, watch: &mut dyn FnMut(&LogEntry),
+    world: &World, seed: u64, policy_factory: &PolicyFactory, observer: &mut dyn FnMut(&LogEntry),
 ) -> Result<Report, WorldError> {
     world.check()?;
     let fleet = Fleet::new(world, seed);
     let faults = Faults::new(world, &fleet, seed);
-    let known: Vec<Listed> = fleet.endpoints.iter().map(|e| e.listed).collect();
-    let hosts: Vec<Host> =
-        (0..world.senders.count).map(|s| Host::new((s % world.net.zones) as u16, known.clone())).collect();
-    let length = nanos(world.day.length_s);
-    let curve_top = match world.clients.curve {
+    let known_list: Vec<Listed> = fleet.endpoints.iter().map(|endpoint| endpoint.listed).collect();
+    let hosts: Vec<Host> = (0..world.senders.count)
+        .map(|sender_id| Host::new((sender_id % world.network.zones) as u16, known_list.clone()))
+        .collect();
+    let day_length = nanos(world.day.length_s);
+    let curve_peak = match world.clients.curve {
         Curve::Steady => 1.0,
-        Curve::Wave => 1.0 + world.clients.swing,
-        Curve::Points => world.clients.points.iter().map(|p| p.1).fold(0.0, f64::max),
+        Curve::Wave => 1.0 + world.clients.wave_amplitude,
+        Curve::Points => world.clients.points.iter().map(|point| point.1).fold(0.0, f64::max),
     };
-    let surges = world.faults.iter().filter(|t| t.kind == FaultKind::Surge).map(|t| t.size.max(1.0));
-    let clump = 1.0 - world.clients.clump_share * (1.0 - 1.0 / world.clients.clump_size.max(1) as f64);
-    let judge = Judge::new(world, &fleet);
+    let surges =
+        world.faults.iter().filter(|fault| fault.kind == FaultKind::Surge).map(|fault| fault.size.max(1.0));
+    let arrivals_per_webhook =
+        1.0 - world.clients.clump_share * (1.0 - 1.0 / world.clients.clump_size.max(1) as f64);
+    let rule_checker = RuleChecker::new(world, &fleet);
     let mut run = Run {
         world,
         seed,
-        maker,
-        watch,
+        policy_factory,
+        observer,
         queue: Queue::new(world.day.shuffle_seed, world.day.tick_us * 1_000),
-        out: vec![false; fleet.endpoints.len()],
-        desk: Desk { many: fleet.endpoints.len() as u32, ..Desk::default() },
-        noticed_at: vec![0; hosts.len()],
+        in_outage: vec![false; fleet.endpoints.len()],
+        actions: ActionRecorder { endpoint_count: fleet.endpoints.len() as u32, ..ActionRecorder::default() },
+        death_noticed_at: vec![0; hosts.len()],
         fleet,
         faults,
         hosts,
         messages: Vec::new(),
-        hooks: Vec::new(),
+        webhooks: Vec::new(),
         calls: Vec::new(),
-        free: Vec::new(),
-        chance: Chances {
+        free_calls: Vec::new(),
+        generators: Generators {
             arrivals: generator(seed, "arrivals"),
             clients: generator(seed, "clients"),
-            front: generator(seed, "front"),
+            load_balancer: generator(seed, "front"),
             net: generator(seed, "net"),
             service: generator(seed, "service"),
             list: generator(seed, "list"),
         },
-        event_types_drawn: Weighted::new(world.event_types.iter().map(|t| t.share)),
-        customers: Weighted::new(world.customers.iter().map(|c| c.share)),
-        // A clump counts as one arrival: the rate of webhooks stays as it is named.
-        top_rate: world.clients.rate * curve_top * surges.product::<f64>() * clump,
-        length,
-        living: 0,
-        measures: Measures::new(length, nanos(world.day.window_s)),
-        judge,
+        event_type_weights: Weighted::new(world.event_types.iter().map(|event_type| event_type.share)),
+        customer_weights: Weighted::new(world.customers.iter().map(|customer| customer.share)),
+        // A clump counts as one arrival, so that the rate of webhooks is the configured one.
+        peak_rate: world.clients.rate * curve_peak * surges.product::<f64>() * arrivals_per_webhook,
+        day_length,
+        open_messages: 0,
+        measurements: Measurements::new(day_length, nanos(world.day.window_s)),
+        rule_checker,
         digest: Digest::default(),
         policy_messages: Vec::new(),
     };
@@ -270,126 +264,172 @@
 }
 
 impl Run<'_> {
+    /// Handles events until the day is over and all messages are settled.
     fn play(&mut self) {
-        for (i, f) in self.faults.all.iter().enumerate() {
-            self.queue.put(f.from, Event::Begin { trouble: i });
-            self.queue.put(f.to, Event::Finish { trouble: i });
+        for (index, fault) in self.faults.all.iter().enumerate() {
+            self.queue.put(fault.begins_at, Event::FaultBegins { fault_index: index });
+            self.queue.put(fault.ends_at, Event::FaultEnds { fault_index: index });
         }
-        for s in 0..self.hosts.len() as u32 {
-            self.start(s);
+        for sender_id in 0..self.hosts.len() as u32 {
+            self.start_sender(sender_id);
         }
-        for window in 0..self.measures.windows.len() {
+        for window in 0..self.measurements.windows.len() {
             self.queue.put(nanos((window + 1) as f64 * self.world.day.window_s), Event::Sample { window });
         }
         self.queue.put(0, Event::Arrival);
-        // What a policy asks for without end must not keep a day from its end.
-        let longest = self.world.event_types.iter().map(|t| t.ttl_s).fold(0.0, f64::max);
-        let last =
-            self.length.max(self.faults.all.iter().map(|f| f.to).max().unwrap_or(0)) + nanos(longest + 30.0);
-        let (mut instant, mut at_once) = (0, 0_u64);
+        // A policy that keeps asking for actions must not keep the day from ending.
+        let longest_ttl_s =
+            self.world.event_types.iter().map(|event_type| event_type.ttl_s).fold(0.0, f64::max);
+        let hard_stop_at =
+            self.day_length.max(self.faults.all.iter().map(|fault| fault.ends_at).max().unwrap_or(0))
+                + nanos(longest_ttl_s + 30.0);
+        let (mut current_instant, mut events_at_instant) = (0, 0_u64);
         while let Some((now, event)) = self.queue.next() {
-            self.measures.counts.events += 1;
-            at_once = if now == instant { at_once + 1 } else { 0 };
-            instant = now;
-            // A policy that asks again and again without time passing would never come to the next instant.
-            if at_once > 10_000_000 {
-                self.policy_messages.push(format!("{:.3}: no end of events at one instant", seconds(now)));
+            self.measurements.counts.events += 1;
+            events_at_instant = if now == current_instant { events_at_instant + 1 } else { 0 };
+            current_instant = now;
+            // A policy that keeps asking for actions at one instant would keep time from passing.
+            if events_at_instant > 10_000_000 {
+                self.policy_messages.push(format!(
+                    "{:.3}: more than 10,000,000 events at one instant, the day is cut off",
+                    seconds(now)
+                ));
                 break;
             }
-            self.happens(now, event);
-            let quiet = self.living == 0 && self.free.len() == self.calls.len();
-            if now > last || (now >= self.length && quiet) {
+            self.dispatch(now, event);
+            let idle = self.open_messages == 0 && self.free_calls.len() == self.calls.len();
+            if now > hard_stop_at || (now >= self.day_length && idle) {
                 break;
             }
         }
     }
 
+    /// The result of the day.
     fn report(self) -> Report {
-        let m = self.measures;
-        let worst =
-            m.windows.iter().filter(|w| w.offered_value > 0.0).map(|w| w.delivered_value / w.offered_value);
-        let ended = self.queue.now();
+        let measurements = self.measurements;
+        let worst_window = measurements
+            .windows
+            .iter()
+            .filter(|window| window.offered_value > 0.0)
+            .map(|window| window.delivered_value / window.offered_value);
+        let ended_at = self.queue.now();
         Report {
             seed: self.seed,
             hash: self.digest.value(),
-            value: if m.offered_value > 0.0 { m.delivered_value / m.offered_value } else { 1.0 },
-            worst_window: worst.fold(1.0, f64::min),
-            violations: self.judge.verdict(ended),
-            counts: m.counts,
-            windows: m.windows,
-            latency: m.latency,
-            at_endpoints: m.at_endpoints,
-            waited: m.waited,
-            at_senders: m.at_senders,
+            value: if measurements.offered_value > 0.0 {
+                measurements.delivered_value / measurements.offered_value
+            } else {
+                1.0
+            },
+            worst_window: worst_window.fold(1.0, f64::min),
+            violations: self.rule_checker.into_violations(ended_at),
+            counts: measurements.counts,
+            windows: measurements.windows,
+            latency: measurements.latency,
+            at_endpoints: measurements.at_endpoints,
+            queueing: measurements.queueing,
+            at_senders: measurements.at_senders,
             policy_messages: self.policy_messages,
-            ended_at_s: seconds(ended),
+            ended_at_s: seconds(ended_at),
         }
     }
 
+    /// Adds an entry to the event log.
     fn log(&mut self, event: LogEvent) {
-        let line = LogEntry { at: self.queue.now(), event };
-        self.digest.add(&line);
-        self.judge.see(&line);
-        (self.watch)(&line);
+        let entry = LogEntry { at: self.queue.now(), event };
+        self.digest.add(&entry);
+        self.rule_checker.check_entry(&entry);
+        (self.observer)(&entry);
     }
 
-    fn happens(&mut self, now: Nanos, event: Event) {
+    /// Handles an event.
+    fn dispatch(&mut self, now: Nanos, event: Event) {
         match event {
-            Event::Arrival => self.arrival(now),
-            Event::Clumped { dest } => self.message(now, dest),
-            Event::HandIn { message, sender } => self.handed_in(now, message, sender),
-            Event::Withdraw { message } => self.withdraw(now, message),
-            Event::Flush { sender } => self.flush(now, sender),
-            Event::Wake { sender, life, handle } if self.lives(sender, life) => {
-                self.input(sender, |p, out| p.wake(seconds(now), handle, out));
+            Event::Arrival => self.handle_arrival(now),
+            Event::ClumpArrival { destination_id } => self.create_message(now, destination_id),
+            Event::HandIn { message_id, sender_id } => self.receive_hand_in(now, message_id, sender_id),
+            Event::Withdraw { message_id } => self.withdraw_message(now, message_id),
+            Event::Flush { sender_id } => self.flush_batches(now, sender_id),
+            Event::Wake { sender_id, incarnation, handle } if self.is_running(sender_id, incarnation) => {
+                self.give_input(sender_id, |policy, actions| policy.wake(seconds(now), handle, actions));
             }
-            Event::Moot { sender, life, webhook, ep, no_slot } if self.lives(sender, life) => {
-                self.log(LogEvent::Outcome { webhook, sender, ep, told: Told::Moot, wait: 0 });
-                let ended = self.hooks[webhook as usize - 1].ended;
-                self.outcome(now, sender, webhook, ep, Outcome::Moot(no_slot), 0.0, ended, None);
+            Event::NotSent { sender_id, incarnation, webhook_id, endpoint_id, no_slot }
+                if self.is_running(sender_id, incarnation) =>
+            {
+                self.log(LogEvent::Outcome {
+                    webhook_id,
+                    sender_id,
+                    endpoint_id,
+                    result: AttemptResult::Moot,
+                    wait: 0,
+                });
+                let has_final_answer = self.webhooks[webhook_id as usize - 1].has_final_answer;
+                self.report_outcome(
+                    now,
+                    sender_id,
+                    webhook_id,
+                    endpoint_id,
+                    Outcome::Moot(no_slot),
+                    0.0,
+                    has_final_answer,
+                    None,
+                );
             }
-            Event::Up { call } => self.up(now, call),
-            Event::Reached { call } => self.reached(now, call),
-            Event::Served { call } => self.served(now, call),
-            Event::Answer { call, told, wait, report } => self.answered(now, call, told, wait, report),
-            Event::Stop { call } => self.finish(now, call, Told::TimedOut, 0, None),
-            Event::CalledOff { call } => self.finish(now, call, Told::Cancelled, 0, None),
-            Event::News { sender, life, mode, items } if self.lives(sender, life) => {
-                self.news(now, sender, mode, &items);
+            Event::Connected { call } => self.on_connected(now, call),
+            Event::Reached { call } => self.on_endpoint_reached(now, call),
+            Event::WorkDone { call } => self.on_work_done(now, call),
+            Event::Answer { call, result, wait, limit_report } => {
+                self.on_answer(now, call, result, wait, limit_report)
             }
-            Event::Begin { trouble } => self.begin(now, trouble),
-            Event::Finish { trouble } => self.over(now, trouble),
-            Event::Die { sender, life } if self.lives(sender, life) => self.die(now, sender),
-            Event::Recover { ep } => {
-                self.fleet.endpoints[ep as usize].fallen = false;
-                self.outage(now, ep);
+            Event::TimedOut { call } => self.finish_call(now, call, AttemptResult::TimedOut, 0, None),
+            Event::Cancelled { call } => self.finish_call(now, call, AttemptResult::Cancelled, 0, None),
+            Event::ListUpdateReceived { sender_id, incarnation, update, items }
+                if self.is_running(sender_id, incarnation) =>
+            {
+                self.receive_list_update(now, sender_id, update, &items);
+            }
+            Event::FaultBegins { fault_index } => self.begin_fault(now, fault_index),
+            Event::FaultEnds { fault_index } => self.end_fault(now, fault_index),
+            Event::Kill { sender_id, incarnation } if self.is_running(sender_id, incarnation) => {
+                self.kill_sender(now, sender_id)
+            }
+            Event::EndpointRecovers { endpoint_id } => {
+                self.fleet.endpoints[endpoint_id as usize].overloaded = false;
+                self.update_outage(now, endpoint_id);
             }
             Event::Sample { window } => {
-                let queued = self.hosts.iter().map(|h| h.open.len() as u64).sum();
-                self.measures.windows[window].queued = queued;
+                let queued = self.hosts.iter().map(|host| host.open_webhooks.len() as u64).sum();
+                self.measurements.windows[window].queued = queued;
             }
-            Event::Wake { .. } | Event::Moot { .. } | Event::News { .. } | Event::Die { .. } => {}
+            Event::Wake { .. }
+            | Event::NotSent { .. }
+            | Event::ListUpdateReceived { .. }
+            | Event::Kill { .. } => {}
         }
     }
 
-    fn lives(&self, sender: u32, life: u32) -> bool {
-        let h = &self.hosts[sender as usize];
-        h.up() && h.life == life
+    /// Whether this incarnation of a sender is still running.
+    fn is_running(&self, sender_id: u32, incarnation: u32) -> bool {
+        let host = &self.hosts[sender_id as usize];
+        host.is_running() && host.incarnation == incarnation
     }
 }
 
-/// What a delivery so long after the first hand-in is worth, as a share of the event type's value.
-fn worth(t: &crate::spec::EventType, took: f64) -> f64 {
-    let past = took - t.target_s;
-    if past <= 0.0 {
+/// Share of an event type's value that a delivery `latency_s` after the first hand-in has.
+fn remaining_value_share(event_type: &crate::spec::EventType, latency_s: f64) -> f64 {
+    let late_s = latency_s - event_type.target_latency_s;
+    if late_s <= 0.0 {
         1.0
-    } else if t.halves {
-        0.5_f64.powf(past / t.target_s).max(t.late)
+    } else if event_type.value_halves {
+        0.5_f64.powf(late_s / event_type.target_latency_s).max(event_type.late_value_share)
     } else {
-        (1.0 - (1.0 - t.late) * past / (t.ttl_s - t.target_s).max(1e-9)).max(t.late)
+        (1.0 - (1.0 - event_type.late_value_share) * late_s
+            / (event_type.ttl_s - event_type.target_latency_s).max(1e-9))
+        .max(event_type.late_value_share)
     }
 }
 
-fn numbered(known: &[Listed]) -> Vec<(u32, Listed)> {
-    known.iter().enumerate().map(|(e, l)| (e as u32, *l)).collect()
+/// List entries with the ids of their endpoints.
+fn with_ids(known_list: &[Listed]) -> Vec<(u32, Listed)> {
+    known_list.iter().enumerate().map(|(endpoint_id, listed)| (endpoint_id as u32, *listed)).collect()
 }
--- a/crates/emulator/src/run/clients.rs
+++ b/crates/emulator/src/run/clients.rs
@@ -1,191 +1,264 @@
-//! Clients of a run: arrivals, hand-ins, and what they do after an answer.
+//! Clients: they create messages, hand them in to a sender, and retry or withdraw them.
 
 use super::*;
 
 impl Run<'_> {
-    pub(super) fn rate_now(&self, now: Nanos) -> f64 {
-        let (c, t) = (&self.world.clients, seconds(now));
-        let curve = match c.curve {
+    /// Webhooks per second at a time of the day.
+    pub(super) fn current_rate(&self, now: Nanos) -> f64 {
+        let (clients, now_s) = (&self.world.clients, seconds(now));
+        let curve = match clients.curve {
             Curve::Steady => 1.0,
-            Curve::Wave => 1.0 + c.swing * (std::f64::consts::TAU * t / c.swing_s.max(0.001)).sin(),
+            Curve::Wave => {
+                1.0 + clients.wave_amplitude
+                    * (std::f64::consts::TAU * now_s / clients.wave_period_s.max(0.001)).sin()
+            }
             Curve::Points => {
-                let after = c.points.partition_point(|p| p.0 <= t);
-                match (after.checked_sub(1).map(|i| c.points[i]), c.points.get(after)) {
-                    (Some(a), Some(b)) => a.1 + (b.1 - a.1) * (t - a.0) / (b.0 - a.0),
-                    (Some(p), None) | (None, Some(&p)) => p.1,
+                let next = clients.points.partition_point(|point| point.0 <= now_s);
+                match (next.checked_sub(1).map(|index| clients.points[index]), clients.points.get(next)) {
+                    (Some(before), Some(after)) => {
+                        before.1 + (after.1 - before.1) * (now_s - before.0) / (after.0 - before.0)
+                    }
+                    (Some(point), None) | (None, Some(&point)) => point.1,
                     (None, None) => 1.0,
                 }
             }
         };
-        let surge =
-            |f: &&crate::faults::ScheduledFault| f.kind == FaultKind::Surge && f.from <= now && now < f.to;
-        c.rate * curve * self.faults.all.iter().filter(surge).map(|f| f.size).product::<f64>()
+        let is_surge = |fault: &&crate::faults::ScheduledFault| {
+            fault.kind == FaultKind::Surge && fault.begins_at <= now && now < fault.ends_at
+        };
+        clients.rate
+            * curve
+            * self.faults.all.iter().filter(is_surge).map(|fault| fault.size).product::<f64>()
     }
 
-    /// Arrivals at the highest rate of the day, thinned to that of the moment (Lewis and Shedler 1979).
-    pub(super) fn arrival(&mut self, now: Nanos) {
-        let c = &self.world.clients;
-        let clump = 1.0 - c.clump_share * (1.0 - 1.0 / c.clump_size.max(1) as f64);
-        if now > 0 && self.chance.arrivals.random::<f64>() * self.top_rate < self.rate_now(now) * clump {
-            let dest = self.fleet.traffic.draw(&mut self.chance.arrivals) as u32;
-            // A share of the webhooks, not of the arrivals, comes in clumps.
-            let clumps = c.clump_share / c.clump_size.max(1) as f64 / clump;
-            if c.clump_share > 0.0 && self.chance.arrivals.random::<f64>() < clumps {
-                for i in 0..c.clump_size {
-                    let at = now + nanos(c.clump_s * i as f64 / c.clump_size as f64);
-                    self.queue.put(at, Event::Clumped { dest });
+    /// Poisson arrivals drawn at the peak rate of the day and thinned to the current rate (Lewis and Shedler
+    /// 1979).
+    pub(super) fn handle_arrival(&mut self, now: Nanos) {
+        let clients = &self.world.clients;
+        let arrivals_per_webhook = 1.0 - clients.clump_share * (1.0 - 1.0 / clients.clump_size.max(1) as f64);
+        if now > 0
+            && self.generators.arrivals.random::<f64>() * self.peak_rate
+                < self.current_rate(now) * arrivals_per_webhook
+        {
+            let destination_id = self.fleet.traffic.draw(&mut self.generators.arrivals) as u32;
+            // `clump_share` is a share of the webhooks, not of the arrivals.
+            let clump_probability =
+                clients.clump_share / clients.clump_size.max(1) as f64 / arrivals_per_webhook;
+            if clients.clump_share > 0.0 && self.generators.arrivals.random::<f64>() < clump_probability {
+                for index in 0..clients.clump_size {
+                    let at = now + nanos(clients.clump_s * index as f64 / clients.clump_size as f64);
+                    self.queue.put(at, Event::ClumpArrival { destination_id });
                 }
             } else {
-                self.message(now, dest);
+                self.create_message(now, destination_id);
             }
         }
-        let gap = self.chance.arrivals.sample::<f64, _>(rand_distr::Exp1) / self.top_rate;
-        if now + nanos(gap) < self.length {
-            self.queue.put(now + nanos(gap), Event::Arrival);
+        let gap_s = self.generators.arrivals.sample::<f64, _>(rand_distr::Exp1) / self.peak_rate;
+        if now + nanos(gap_s) < self.day_length {
+            self.queue.put(now + nanos(gap_s), Event::Arrival);
         }
     }
 
-    pub(super) fn message(&mut self, now: Nanos, dest: u32) {
-        let (c, w) = (&self.world.clients, self.world);
-        let with = &mut self.chance.clients;
-        let event_type = self.event_types_drawn.draw(with) as u16;
-        let t = &w.event_types[usize::from(event_type)];
-        let left = if c.short_ttl_share > 0.0 && with.random::<f64>() < c.short_ttl_share {
-            c.short_s.draw(with).min(t.ttl_s)
+    /// A client creates a message and hands it in.
+    pub(super) fn create_message(&mut self, now: Nanos, destination_id: u32) {
+        let (clients, world) = (&self.world.clients, self.world);
+        let generator = &mut self.generators.clients;
+        let event_type_id = self.event_type_weights.draw(generator) as u16;
+        let event_type = &world.event_types[usize::from(event_type_id)];
+        let ttl_left_s =
+            if clients.short_ttl_share > 0.0 && generator.random::<f64>() < clients.short_ttl_share {
+                clients.short_ttl_s.draw(generator).min(event_type.ttl_s)
+            } else {
+                event_type.ttl_s
+            };
+        let customer_id = (!world.customers.is_empty()).then(|| self.customer_weights.draw(generator) as u16);
+        // 0 stands for no ordering key.
+        let key = if event_type.ordered {
+            u64::from(destination_id) << 20
+                | (1 + generator.random_range(0..clients.keys_per_destination.max(1)))
         } else {
-            t.ttl_s
+            0
         };
-        let customer = (!w.customers.is_empty()).then(|| self.customers.draw(with) as u16);
-        // 0 is no key.
-        let key =
-            if t.ordered { u64::from(dest) << 20 | (1 + with.random_range(0..c.keys.max(1))) } else { 0 };
-        let gives_up = (c.withdraw_share > 0.0 && with.random::<f64>() < c.withdraw_share)
-            .then(|| c.withdraw_s.draw(with));
-        let (message, ttl_at) = (self.messages.len() as u64, now + nanos(left));
-        let (again, webhook, over) = (0, 0, false);
+        let withdraw_after_s = (clients.withdraw_share > 0.0
+            && generator.random::<f64>() < clients.withdraw_share)
+            .then(|| clients.withdraw_delay_s.draw(generator));
+        let (message_id, ttl_at) = (self.messages.len() as u64, now + nanos(ttl_left_s));
+        let (resubmissions, webhook_id, settled) = (0, 0, false);
         self.messages.push(Message {
-            event_type,
-            dest,
+            event_type_id,
+            destination_id,
             key,
-            customer,
-            first_at: now,
+            customer_id,
+            first_handed_in_at: now,
             ttl_at,
-            again,
-            webhook,
-            over,
+            resubmissions,
+            webhook_id,
+            settled,
         });
-        self.living += 1;
-        self.measures.counts.messages += 1;
-        self.measures.asked(now, t.value);
-        if let Some(after) = gives_up {
-            self.queue.put(now + nanos(after), Event::Withdraw { message });
+        self.open_messages += 1;
+        self.measurements.counts.messages += 1;
+        self.measurements.record_offered(now, event_type.value);
+        if let Some(delay_s) = withdraw_after_s {
+            self.queue.put(now + nanos(delay_s), Event::Withdraw { message_id });
         }
-        self.hand_in(now, message);
+        self.hand_in(now, message_id);
     }
 
-    /// A plain front layer: any sender that is not known to be dead.
-    pub(super) fn hand_in(&mut self, now: Nanos, message: u64) {
-        let many = self.hosts.len();
-        let first = if many > 1 { self.chance.front.random_range(0..many) } else { 0 };
-        let fine = |s: &usize| self.hosts[*s].up() || now < self.noticed_at[*s];
-        let sender = (0..many).map(|i| (first + i) % many).find(fine).unwrap_or(first) as u32;
-        let delay = nanos(self.world.net.client.draw(&mut self.chance.front));
-        self.queue.put(now + delay, Event::HandIn { message, sender });
+    /// Hands a message in through the load balancer: to a random sender, the next one where it is known to be
+    /// dead.
+    pub(super) fn hand_in(&mut self, now: Nanos, message_id: u64) {
+        let host_count = self.hosts.len();
+        let first =
+            if host_count > 1 { self.generators.load_balancer.random_range(0..host_count) } else { 0 };
+        let seems_running =
+            |host_id: &usize| self.hosts[*host_id].is_running() || now < self.death_noticed_at[*host_id];
+        let sender_id =
+            (0..host_count).map(|offset| (first + offset) % host_count).find(seems_running).unwrap_or(first)
+                as u32;
+        let delay = nanos(self.world.network.client_delay.draw(&mut self.generators.load_balancer));
+        self.queue.put(now + delay, Event::HandIn { message_id, sender_id });
     }
 
-    /// A client comes again after a while, unless there would be no time left.
-    pub(super) fn again(&mut self, now: Nanos, message: u64, come_back: f64) {
-        let c = &self.world.clients;
-        let m = &self.messages[message as usize];
-        let grow = if c.doubles { f64::from(1_u32 << m.again.saturating_sub(1).min(6)) } else { 1.0 };
-        let mut wait = c.again_s.draw(&mut self.chance.clients) * grow;
-        if come_back > 0.0 && self.chance.clients.random::<f64>() < c.heed {
-            wait = come_back;
+    /// Schedules the client's next hand-in, unless that would be after the TTL.
+    pub(super) fn schedule_retry(&mut self, now: Nanos, message_id: u64, retry_after: f64) {
+        let clients = &self.world.clients;
+        let message = &self.messages[message_id as usize];
+        let growth = if clients.retry_delay_doubles {
+            f64::from(1_u32 << message.resubmissions.saturating_sub(1).min(6))
+        } else {
+            1.0
+        };
+        let mut delay_s = clients.retry_delay_s.draw(&mut self.generators.clients) * growth;
+        if retry_after > 0.0 && self.generators.clients.random::<f64>() < clients.heed_retry_after_share {
+            delay_s = retry_after;
         }
-        // 1 ms at least: a client is never faster, and a day must move on.
-        let at = now + nanos(wait.max(0.001));
-        if at >= m.ttl_at {
-            return self.done(message);
+        // At least 1 ms: no client is faster, and time has to pass between two hand-ins.
+        let at = now + nanos(delay_s.max(0.001));
+        if at >= message.ttl_at {
+            return self.settle_message(message_id);
         }
-        let many = self.hosts.len();
-        let first = if many > 1 { self.chance.front.random_range(0..many) } else { 0 };
-        let fine = |s: &usize| self.hosts[*s].up() || at < self.noticed_at[*s];
-        let sender = (0..many).map(|i| (first + i) % many).find(fine).unwrap_or(first) as u32;
-        self.queue.put(at, Event::HandIn { message, sender });
+        let host_count = self.hosts.len();
+        let first =
+            if host_count > 1 { self.generators.load_balancer.random_range(0..host_count) } else { 0 };
+        let seems_running =
+            |host_id: &usize| self.hosts[*host_id].is_running() || at < self.death_noticed_at[*host_id];
+        let sender_id =
+            (0..host_count).map(|offset| (first + offset) % host_count).find(seems_running).unwrap_or(first)
+                as u32;
+        self.queue.put(at, Event::HandIn { message_id, sender_id });
     }
 
-    pub(super) fn done(&mut self, message: u64) {
-        if !std::mem::replace(&mut self.messages[message as usize].over, true) {
-            self.living -= 1;
+    /// Marks a message as settled: its client does no more with it.
+    pub(super) fn settle_message(&mut self, message_id: u64) {
+        if !std::mem::replace(&mut self.messages[message_id as usize].settled, true) {
+            self.open_messages -= 1;
         }
     }
 
-    pub(super) fn handed_in(&mut self, now: Nanos, message: u64, sender: u32) {
-        let m = &self.messages[message as usize];
-        if m.over || now >= m.ttl_at {
-            return self.done(message);
+    /// A sender accepts a message as a webhook, or the client has to retry.
+    pub(super) fn receive_hand_in(&mut self, now: Nanos, message_id: u64, sender_id: u32) {
+        let message = &self.messages[message_id as usize];
+        if message.settled || now >= message.ttl_at {
+            return self.settle_message(message_id);
         }
-        let h = &self.hosts[sender as usize];
-        if !h.up() || h.open.len() >= self.world.senders.holds {
-            self.measures.counts.refused += 1;
-            return self.again(now, message, 0.0);
+        let host = &self.hosts[sender_id as usize];
+        if !host.is_running() || host.open_webhooks.len() >= self.world.senders.max_pending {
+            self.measurements.counts.refused += 1;
+            return self.schedule_retry(now, message_id, 0.0);
         }
-        let webhook = self.hooks.len() as u64 + 1;
-        let (event_type, dest, key, ttl_at) = (m.event_type, m.dest, m.key, m.ttl_at);
-        self.hooks.push(Hook {
-            message,
-            sender,
-            taken_at: now,
-            tries: 0,
-            ran: None,
+        let webhook_id = self.webhooks.len() as u64 + 1;
+        let (event_type_id, destination_id, key, ttl_at) =
+            (message.event_type_id, message.destination_id, message.key, message.ttl_at);
+        self.webhooks.push(AcceptedWebhook {
+            message_id,
+            sender_id,
+            accepted_at: now,
+            attempts_made: 0,
+            may_have_run: None,
             call: None,
-            ended: false,
+            has_final_answer: false,
+        });
+        self.messages[message_id as usize].webhook_id = webhook_id;
+        self.hosts[sender_id as usize].open_webhooks.insert(webhook_id);
+        self.measurements.counts.accepted += 1;
+        self.measurements.at_senders.enter(now);
+        let queued = self.measurements.counts.accepted - self.measurements.at_senders.departures;
+        self.measurements.counts.peak_queued = self.measurements.counts.peak_queued.max(queued);
+        self.log(LogEvent::Taken {
+            webhook_id,
+            message_id,
+            sender_id,
+            event_type_id,
+            destination_id,
+            key,
+            ttl_at,
         });
-        self.messages[message as usize].webhook = webhook;
-        self.hosts[sender as usize].open.insert(webhook);
-        self.measures.counts.accepted += 1;
-        self.measures.at_senders.enter(now);
-        let held = self.measures.counts.accepted - self.measures.at_senders.left;
-        self.measures.counts.peak_queued = self.measures.counts.peak_queued.max(held);
-        self.log(LogEvent::Taken { webhook, message, sender, event_type, dest, key, ttl_at });
-        self.give(now, webhook, None);
+        self.give_webhook(now, webhook_id, None);
     }
 
-    /// Gives a webhook to its sender's policy, after a restart with what was made of it.
-    pub(super) fn give(&mut self, now: Nanos, webhook: u64, resumed: Option<(u32, Option<(u16, Nanos)>)>) {
-        let hook = &self.hooks[webhook as usize - 1];
-        let (m, sender) = (&self.messages[hook.message as usize], hook.sender);
+    /// Gives a webhook to its sender's policy; after a restart with the attempts made and the first one that
+    /// may have run.
+    pub(super) fn give_webhook(
+        &mut self, now: Nanos, webhook_id: u64, resume_state: Option<(u32, Option<(u16, Nanos)>)>,
+    ) {
+        let webhook = &self.webhooks[webhook_id as usize - 1];
+        let (message, sender_id) = (&self.messages[webhook.message_id as usize], webhook.sender_id);
         let world = self.world;
-        let event_type = &world.event_types[usize::from(m.event_type)].name;
-        let key = (m.key > 0).then(|| format!("k{}", m.key));
-        let customer = m.customer.map(|c| world.customers[usize::from(c)].name.as_str());
-        let (dest, left) = (u64::from(m.dest), m.ttl_at as f64 / 1e9 - seconds(now));
+        let event_type_name = &world.event_types[usize::from(message.event_type_id)].name;
+        let key = (message.key > 0).then(|| format!("k{}", message.key));
+        let customer =
+            message.customer_id.map(|customer_id| world.customers[usize::from(customer_id)].name.as_str());
+        let (destination_id, ttl_left_s) =
+            (u64::from(message.destination_id), message.ttl_at as f64 / 1e9 - seconds(now));
         let (now, key) = (seconds(now), key.as_deref());
-        match resumed {
-            None => self
-                .input(sender, |p, out| p.accept(now, webhook, event_type, dest, key, customer, left, out)),
-            Some((tries, ran)) => {
-                let zone = ran.map(|r| (self.fleet.zones[usize::from(r.0)].clone(), seconds(r.1)));
-                let ran = zone.as_ref().map(|(z, at)| (z.as_str(), *at));
-                self.input(sender, |p, out| {
-                    p.resume(now, webhook, event_type, dest, key, customer, left, tries, ran, out);
+        match resume_state {
+            None => self.give_input(sender_id, |policy, actions| {
+                policy.accept(
+                    now,
+                    webhook_id,
+                    event_type_name,
+                    destination_id,
+                    key,
+                    customer,
+                    ttl_left_s,
+                    actions,
+                )
+            }),
+            Some((attempts_made, may_have_run)) => {
+                let zone_and_time = may_have_run
+                    .map(|first| (self.fleet.zone_names[usize::from(first.0)].clone(), seconds(first.1)));
+                let may_have_run = zone_and_time.as_ref().map(|(zone, at)| (zone.as_str(), *at));
+                self.give_input(sender_id, |policy, actions| {
+                    policy.resume(
+                        now,
+                        webhook_id,
+                        event_type_name,
+                        destination_id,
+                        key,
+                        customer,
+                        ttl_left_s,
+                        attempts_made,
+                        may_have_run,
+                        actions,
+                    );
                 });
             }
         }
     }
 
-    pub(super) fn withdraw(&mut self, now: Nanos, message: u64) {
-        let m = &self.messages[message as usize];
-        let (webhook, over) = (m.webhook, m.over);
-        if over {
+    /// The client withdraws a message that is not settled.
+    pub(super) fn withdraw_message(&mut self, now: Nanos, message_id: u64) {
+        let message = &self.messages[message_id as usize];
+        let (webhook_id, settled) = (message.webhook_id, message.settled);
+        if settled {
             return;
         }
-        self.done(message);
-        let Some(hook) = (webhook as usize).checked_sub(1).map(|i| &self.hooks[i]) else { return };
-        let (sender, ended) = (hook.sender, hook.ended);
-        if !ended && self.hosts[sender as usize].up() {
-            self.end(now, webhook, Final::Withdrawn, 0.0);
-            self.input(sender, |p, out| p.withdraw(seconds(now), webhook, out));
+        self.settle_message(message_id);
+        let Some(webhook) = (webhook_id as usize).checked_sub(1).map(|i| &self.webhooks[i]) else { return };
+        let (sender_id, has_final_answer) = (webhook.sender_id, webhook.has_final_answer);
+        if !has_final_answer && self.hosts[sender_id as usize].is_running() {
+            self.record_final_answer(now, webhook_id, FinalAnswer::Withdrawn, 0.0);
+            self.give_input(sender_id, |policy, actions| policy.withdraw(seconds(now), webhook_id, actions));
         }
     }
 }
--- a/crates/emulator/src/run/endpoint_list.rs
+++ b/crates/emulator/src/run/endpoint_list.rs
@@ -1,88 +1,117 @@
-//! The endpoint list of a run: changes, watches and what senders are told.
+//! The endpoint list: its changes, the senders' watches, and the updates that reach the policies.
 
 use super::*;
 
 impl Run<'_> {
-    pub(super) fn listed(&self, sender: u32, ep: u32) -> Listed {
-        let l = self.fleet.endpoints[ep as usize].listed;
-        Listed { rate: l.rate * self.faults.product(sender, ep, FaultKind::ListWrong), ..l }
+    /// An endpoint's list entry as a sender sees it.
+    pub(super) fn listed_for(&self, sender_id: u32, endpoint_id: u32) -> Listed {
+        let listed = self.fleet.endpoints[endpoint_id as usize].listed;
+        Listed {
+            rate: listed.rate * self.faults.size_product(sender_id, endpoint_id, FaultKind::ListWrong),
+            ..listed
+        }
     }
 
-    pub(super) fn whole_list(&self, sender: u32) -> Vec<(u32, Listed)> {
-        (0..self.fleet.endpoints.len() as u32).map(|e| (e, self.listed(sender, e))).collect()
+    /// The whole list as a sender sees it.
+    pub(super) fn whole_list(&self, sender_id: u32) -> Vec<(u32, Listed)> {
+        (0..self.fleet.endpoints.len() as u32)
+            .map(|endpoint_id| (endpoint_id, self.listed_for(sender_id, endpoint_id)))
+            .collect()
     }
 
-    /// Sends a part of the list to a sender; parts come in order.
-    pub(super) fn send_list(&mut self, now: Nanos, sender: u32, mode: ListUpdate, items: Vec<(u32, Listed)>) {
-        let mut at = now + nanos(self.world.list.delay.draw(&mut self.chance.list));
-        if let Some(late) = self.faults.at_sender(now, sender, FaultKind::ListLate) {
-            at += nanos(late.size);
+    /// Sends a list update to a sender; updates arrive in order.
+    pub(super) fn send_list_update(
+        &mut self, now: Nanos, sender_id: u32, update: ListUpdate, items: Vec<(u32, Listed)>,
+    ) {
+        let mut arrives_at =
+            now + nanos(self.world.endpoint_list.update_delay.draw(&mut self.generators.list));
+        if let Some(delay_fault) = self.faults.active_at_sender(now, sender_id, FaultKind::ListLate) {
+            arrives_at += nanos(delay_fault.size);
         }
-        if let Some(refused) = self.faults.at_sender(now, sender, FaultKind::ListRefused) {
-            at = at.max(refused.to);
+        if let Some(refusal) = self.faults.active_at_sender(now, sender_id, FaultKind::ListRefused) {
+            arrives_at = arrives_at.max(refusal.ends_at);
         }
-        let h = &mut self.hosts[sender as usize];
-        at = at.max(h.news_at + 1);
-        h.news_at = at;
-        self.queue.put(at, Event::News { sender, life: h.life, mode, items });
+        let host = &mut self.hosts[sender_id as usize];
+        arrives_at = arrives_at.max(host.last_update_at + 1);
+        host.last_update_at = arrives_at;
+        self.queue.put(
+            arrives_at,
+            Event::ListUpdateReceived { sender_id, incarnation: host.incarnation, update, items },
+        );
     }
 
-    pub(super) fn list_changed(&mut self, now: Nanos, endpoints: &[u32]) {
-        for sender in 0..self.hosts.len() as u32 {
-            let h = &self.hosts[sender as usize];
-            if h.up() && (!self.world.list.ask || h.watching) {
-                let items = endpoints.iter().map(|e| (*e, self.listed(sender, *e))).collect();
-                self.send_list(now, sender, ListUpdate::Changes, items);
+    /// Sends changed entries to all senders that get changes now.
+    pub(super) fn broadcast_list_change(&mut self, now: Nanos, endpoint_ids: &[u32]) {
+        for sender_id in 0..self.hosts.len() as u32 {
+            let host = &self.hosts[sender_id as usize];
+            if host.is_running() && (!self.world.endpoint_list.watch_required || host.watching_list) {
+                let items = endpoint_ids
+                    .iter()
+                    .map(|endpoint_id| (*endpoint_id, self.listed_for(sender_id, *endpoint_id)))
+                    .collect();
+                self.send_list_update(now, sender_id, ListUpdate::Changes, items);
             }
         }
     }
 
-    pub(super) fn watch_list(&mut self, now: Nanos, sender: u32, on: bool) {
-        let life = self.hosts[sender as usize].life;
-        if !on {
-            self.hosts[sender as usize].watching = false;
-        } else if self.faults.at_sender(now, sender, FaultKind::ListRefused).is_some() {
-            let after = nanos(self.world.list.delay.draw(&mut self.chance.list));
+    /// A policy starts or stops watching the list.
+    pub(super) fn watch_list(&mut self, now: Nanos, sender_id: u32, enabled: bool) {
+        let incarnation = self.hosts[sender_id as usize].incarnation;
+        if !enabled {
+            self.hosts[sender_id as usize].watching_list = false;
+        } else if self.faults.active_at_sender(now, sender_id, FaultKind::ListRefused).is_some() {
+            let delay = nanos(self.world.endpoint_list.update_delay.draw(&mut self.generators.list));
             let items = Vec::new();
-            self.queue.put(now + after, Event::News { sender, life, mode: ListUpdate::Refused, items });
+            self.queue.put(
+                now + delay,
+                Event::ListUpdateReceived { sender_id, incarnation, update: ListUpdate::Refused, items },
+            );
         } else {
-            self.hosts[sender as usize].watching = true;
-            self.send_list(now, sender, ListUpdate::Whole, self.whole_list(sender));
+            self.hosts[sender_id as usize].watching_list = true;
+            self.send_list_update(now, sender_id, ListUpdate::Whole, self.whole_list(sender_id));
         }
     }
 
-    pub(super) fn news(&mut self, now: Nanos, sender: u32, mode: ListUpdate, items: &[(u32, Listed)]) {
-        for (ep, l) in items {
-            let known = &mut self.hosts[sender as usize].known[*ep as usize];
-            let changed = known.ready != l.ready;
-            *known = *l;
+    /// A list update arrives at a sender.
+    pub(super) fn receive_list_update(
+        &mut self, now: Nanos, sender_id: u32, update: ListUpdate, items: &[(u32, Listed)],
+    ) {
+        for (endpoint_id, listed) in items {
+            let known = &mut self.hosts[sender_id as usize].known_list[*endpoint_id as usize];
+            let changed = known.ready != listed.ready;
+            *known = *listed;
             if changed {
-                self.log(LogEvent::Listed { sender, ep: *ep, ready: l.ready });
+                self.log(LogEvent::Listed { sender_id, endpoint_id: *endpoint_id, ready: listed.ready });
             }
         }
-        self.tell(now, sender, mode, items);
+        self.give_list_update(now, sender_id, update, items);
     }
 
-    pub(super) fn tell(&mut self, now: Nanos, sender: u32, mode: ListUpdate, items: &[(u32, Listed)]) {
+    /// Gives a list update to a sender's policy.
+    pub(super) fn give_list_update(
+        &mut self, now: Nanos, sender_id: u32, update: ListUpdate, items: &[(u32, Listed)],
+    ) {
         let world = self.world;
-        let names = std::mem::take(&mut self.fleet.names);
-        let zones = std::mem::take(&mut self.fleet.zones);
-        let entry = |(ep, l): &(u32, Listed)| {
-            let e = &self.fleet.endpoints[*ep as usize];
+        let endpoint_names = std::mem::take(&mut self.fleet.endpoint_names);
+        let zone_names = std::mem::take(&mut self.fleet.zone_names);
+        let to_entry = |(endpoint_id, listed): &(u32, Listed)| {
+            let endpoint = &self.fleet.endpoints[*endpoint_id as usize];
             ListedEndpoint {
-                endpoint: &names[*ep as usize],
-                zone: &zones[usize::from(e.zone)],
+                endpoint: &endpoint_names[*endpoint_id as usize],
+                zone: &zone_names[usize::from(endpoint.zone)],
                 destination_kind: &world.destination_kinds
-                    [usize::from(self.fleet.destinations[e.dest as usize].kind)]
+                    [usize::from(self.fleet.destinations[endpoint.destination_id as usize].kind_id)]
                 .name,
-                destination: u64::from(e.dest),
-                ready: l.ready,
-                rate_limit: l.rate,
+                destination: u64::from(endpoint.destination_id),
+                ready: listed.ready,
+                rate_limit: listed.rate,
                 started_at: 0.0,
             }
         };
-        let entries: Vec<ListedEndpoint> = items.iter().map(entry).collect();
-        self.input(sender, |p, out| p.update_list(seconds(now), mode, &entries, out));
-        (self.fleet.names, self.fleet.zones) = (names, zones);
+        let entries: Vec<ListedEndpoint> = items.iter().map(to_entry).collect();
+        self.give_input(sender_id, |policy, actions| {
+            policy.update_list(seconds(now), update, &entries, actions)
+        });
+        (self.fleet.endpoint_names, self.fleet.zone_names) = (endpoint_names, zone_names);
     }
 }
--- a/crates/emulator/src/run/faults.rs
+++ b/crates/emulator/src/run/faults.rs
@@ -1,90 +1,106 @@
-//! Troubles of a run: what begins, and what is over.
+//! What happens when an injected fault begins and when it ends.
 
 use super::*;
 
 impl Run<'_> {
-    pub(super) fn begin(&mut self, now: Nanos, i: usize) {
-        self.faults.begin(i);
-        let f = &self.faults.all[i];
-        let (kind, size, to, whole) = (f.kind, f.size, f.to, f.senders.is_empty());
-        let (endpoints, senders, dests) = (f.endpoints.clone(), f.senders.clone(), f.destinations.clone());
+    /// Begins the fault with this index.
+    pub(super) fn begin_fault(&mut self, now: Nanos, fault_index: usize) {
+        self.faults.begin(fault_index);
+        let fault = &self.faults.all[fault_index];
+        let (kind, size, ends_at, affects_all_senders) =
+            (fault.kind, fault.size, fault.ends_at, fault.sender_ids.is_empty());
+        let (endpoint_ids, sender_ids, destination_ids) =
+            (fault.endpoint_ids.clone(), fault.sender_ids.clone(), fault.destination_ids.clone());
         match kind {
-            FaultKind::Kill => senders.iter().for_each(|s| self.die(now, *s)),
+            FaultKind::Kill => sender_ids.iter().for_each(|sender_id| self.kill_sender(now, *sender_id)),
             FaultKind::Restart => {
-                for s in senders {
-                    self.input(s, |p, out| p.begin_shutdown(seconds(now), seconds(now) + size, out));
-                    let life = self.hosts[s as usize].life;
-                    self.queue.put(now + nanos(size), Event::Die { sender: s, life });
+                for affected_id in sender_ids {
+                    self.give_input(affected_id, |policy, actions| {
+                        policy.begin_shutdown(seconds(now), seconds(now) + size, actions)
+                    });
+                    let incarnation = self.hosts[affected_id as usize].incarnation;
+                    self.queue.put(now + nanos(size), Event::Kill { sender_id: affected_id, incarnation });
                 }
             }
             FaultKind::Drain | FaultKind::Leave => {
-                endpoints.iter().for_each(|e| self.fleet.endpoints[*e as usize].listed.ready = false);
-                self.list_changed(now, &endpoints);
+                endpoint_ids
+                    .iter()
+                    .for_each(|endpoint_id| self.fleet.endpoints[*endpoint_id as usize].listed.ready = false);
+                self.broadcast_list_change(now, &endpoint_ids);
             }
-            FaultKind::ListWrong => self.list_changed(now, &endpoints),
-            FaultKind::ListRefused if self.world.list.ask => {
-                for s in senders {
-                    let h = &mut self.hosts[s as usize];
-                    if std::mem::take(&mut h.watching) {
-                        let (life, mode, items) = (h.life, ListUpdate::Refused, Vec::new());
-                        self.queue.put(now, Event::News { sender: s, life, mode, items });
+            FaultKind::ListWrong => self.broadcast_list_change(now, &endpoint_ids),
+            FaultKind::ListRefused if self.world.endpoint_list.watch_required => {
+                for affected_id in sender_ids {
+                    let host = &mut self.hosts[affected_id as usize];
+                    if std::mem::take(&mut host.watching_list) {
+                        let (incarnation, update, items) =
+                            (host.incarnation, ListUpdate::Refused, Vec::new());
+                        self.queue.put(
+                            now,
+                            Event::ListUpdateReceived { sender_id: affected_id, incarnation, update, items },
+                        );
                     }
                 }
             }
             FaultKind::Clump => {
-                let span = seconds(to - now);
-                for dest in dests {
+                let duration_s = seconds(ends_at - now);
+                for destination_id in destination_ids {
                     for _ in 0..size as u64 {
-                        let at = now + nanos(span * self.chance.arrivals.random::<f64>());
-                        self.queue.put(at, Event::Clumped { dest });
+                        let at = now + nanos(duration_s * self.generators.arrivals.random::<f64>());
+                        self.queue.put(at, Event::ClumpArrival { destination_id });
                     }
                 }
             }
             _ => {}
         }
-        for e in &endpoints {
-            if matches!(kind, FaultKind::Down | FaultKind::Leave) && whole {
-                self.drop_all(now, *e);
+        for endpoint_id in &endpoint_ids {
+            if matches!(kind, FaultKind::Down | FaultKind::Leave) && affects_all_senders {
+                self.reset_endpoint(now, *endpoint_id);
             }
-            self.outage(now, *e);
+            self.update_outage(now, *endpoint_id);
         }
     }
 
-    pub(super) fn over(&mut self, now: Nanos, i: usize) {
-        self.faults.finish(i);
-        let f = &self.faults.all[i];
-        let (kind, endpoints, senders) = (f.kind, f.endpoints.clone(), f.senders.clone());
+    /// Ends the fault with this index.
+    pub(super) fn end_fault(&mut self, now: Nanos, fault_index: usize) {
+        self.faults.end(fault_index);
+        let fault = &self.faults.all[fault_index];
+        let (kind, endpoint_ids, sender_ids) =
+            (fault.kind, fault.endpoint_ids.clone(), fault.sender_ids.clone());
         match kind {
             FaultKind::Kill | FaultKind::Restart => {
-                for s in senders {
-                    // One that was to end as planned may have had no time to.
-                    self.die(now, s);
-                    self.start(s);
+                for sender_id in sender_ids {
+                    // A planned shutdown may not have ended by now.
+                    self.kill_sender(now, sender_id);
+                    self.start_sender(sender_id);
                 }
             }
             FaultKind::Drain | FaultKind::Leave => {
-                endpoints.iter().for_each(|e| self.fleet.endpoints[*e as usize].listed.ready = true);
-                self.list_changed(now, &endpoints);
+                endpoint_ids
+                    .iter()
+                    .for_each(|endpoint_id| self.fleet.endpoints[*endpoint_id as usize].listed.ready = true);
+                self.broadcast_list_change(now, &endpoint_ids);
             }
-            FaultKind::ListWrong => self.list_changed(now, &endpoints),
+            FaultKind::ListWrong => self.broadcast_list_change(now, &endpoint_ids),
             _ => {}
         }
-        for e in &endpoints {
-            self.outage(now, *e);
+        for endpoint_id in &endpoint_ids {
+            self.update_outage(now, *endpoint_id);
         }
     }
 
-    /// Looks whether an endpoint went into an outage or came back from one.
-    pub(super) fn outage(&mut self, now: Nanos, ep: u32) {
-        let is = self.faults.outage(ep) || self.fleet.endpoints[ep as usize].fallen;
-        if std::mem::replace(&mut self.out[ep as usize], is) == is {
+    /// Logs when an endpoint goes into an outage or comes back from one; it is cold after that.
+    pub(super) fn update_outage(&mut self, now: Nanos, endpoint_id: u32) {
+        let in_outage =
+            self.faults.causes_outage(endpoint_id) || self.fleet.endpoints[endpoint_id as usize].overloaded;
+        if std::mem::replace(&mut self.in_outage[endpoint_id as usize], in_outage) == in_outage {
             return;
         }
-        if is {
-            self.log(LogEvent::OutageBegan { ep });
+        if in_outage {
+            self.log(LogEvent::OutageBegan { endpoint_id });
         } else {
-            self.fleet.back(now, ep);
-            self.log(LogEvent::OutageEnded { ep });
+            self.fleet.mark_returned(now, endpoint_id);
+            self.log(LogEvent::OutageEnded { endpoint_id });
         }
     }
 }
--- a/crates/emulator/src/run/senders.rs
+++ b/crates/emulator/src/run/senders.rs
@@ -1,173 +1,214 @@
-//! Senders of a run: inputs to their policies, final answers, starts and ends.
+//! Sender processes: inputs to their policies, final answers, starts and kills.
 
 use super::*;
 
 impl Run<'_> {
-    /// Gives an input to a policy and does what it asks for.
-    pub(super) fn input(&mut self, sender: u32, give: impl FnOnce(&mut dyn Policy, &mut Desk)) {
-        let Some(mut policy) = self.hosts[sender as usize].policy.take() else { return };
-        let mut desk = std::mem::take(&mut self.desk);
-        self.measures.counts.inputs += 1;
-        give(&mut *policy, &mut desk);
-        self.hosts[sender as usize].policy = Some(policy);
+    /// Gives an input to the policy of a running sender and carries out the actions that it asks for.
+    pub(super) fn give_input(
+        &mut self, sender_id: u32, give: impl FnOnce(&mut dyn Policy, &mut ActionRecorder),
+    ) {
+        let Some(mut policy) = self.hosts[sender_id as usize].policy.take() else { return };
+        let mut recorder = std::mem::take(&mut self.actions);
+        self.measurements.counts.inputs += 1;
+        give(&mut *policy, &mut recorder);
+        self.hosts[sender_id as usize].policy = Some(policy);
         let now = self.queue.now();
-        let life = self.hosts[sender as usize].life;
-        for act in desk.acts.drain(..) {
-            match act {
-                Act::Attempt { webhook, ep, stop_at } => self.attempt(now, sender, webhook, ep, stop_at),
-                Act::CallOff { webhook, .. } => {
-                    let hook = (webhook as usize).checked_sub(1).and_then(|i| self.hooks.get(i));
-                    if let Some(call) = hook.and_then(|h| h.call) {
-                        self.queue.put(now, Event::CalledOff { call });
+        let incarnation = self.hosts[sender_id as usize].incarnation;
+        for action in recorder.actions.drain(..) {
+            match action {
+                Action::StartAttempt { webhook_id, endpoint_id, give_up_at } => {
+                    self.start_attempt(now, sender_id, webhook_id, endpoint_id, give_up_at)
+                }
+                Action::CancelAttempt { webhook_id, .. } => {
+                    let webhook =
+                        (webhook_id as usize).checked_sub(1).and_then(|index| self.webhooks.get(index));
+                    if let Some(call) = webhook.and_then(|webhook| webhook.call) {
+                        self.queue.put(now, Event::Cancelled { call });
                     }
                 }
-                Act::Reject { webhook, come_back } => self.end(now, webhook, Final::Rejected, come_back),
-                Act::DeadLetter { webhook } => self.end(now, webhook, Final::DeadLettered, 0.0),
-                Act::Wake { after, handle } => {
-                    self.queue.put(now + nanos(after), Event::Wake { sender, life, handle });
+                Action::Reject { webhook_id, retry_after } => {
+                    self.record_final_answer(now, webhook_id, FinalAnswer::Rejected, retry_after)
+                }
+                Action::DeadLetter { webhook_id } => {
+                    self.record_final_answer(now, webhook_id, FinalAnswer::DeadLettered, 0.0)
                 }
-                Act::Watch(on) => self.watch_list(now, sender, on),
-                Act::CloseIdle { ep } => {
-                    let closed = self.hosts[sender as usize].idle.remove(&ep).map_or(0, |p| p.len());
-                    self.fleet.endpoints[ep as usize].connections -= closed;
+                Action::ScheduleWake { delay, handle } => {
+                    self.queue.put(now + nanos(delay), Event::Wake { sender_id, incarnation, handle });
                 }
-                // A hundred lines tell what is wrong with a policy.
-                Act::Log(text) if self.policy_messages.len() < 100 => {
-                    self.policy_messages.push(format!("{:.3} sender {sender}: {text}", seconds(now)));
+                Action::WatchList(enabled) => self.watch_list(now, sender_id, enabled),
+                Action::CloseIdleConnections { endpoint_id } => {
+                    let closed = self.hosts[sender_id as usize]
+                        .idle_connections
+                        .remove(&endpoint_id)
+                        .map_or(0, |connections| connections.len());
+                    self.fleet.endpoints[endpoint_id as usize].connections -= closed;
                 }
-                Act::Log(_) => {}
+                // A hundred messages are enough to see what is wrong with a policy.
+                Action::Log(text) if self.policy_messages.len() < 100 => {
+                    self.policy_messages.push(format!("{:.3} sender {sender_id}: {text}", seconds(now)));
+                }
+                Action::Log(_) => {}
             }
         }
-        self.desk = desk;
+        self.actions = recorder;
     }
 
+    /// Reports the outcome of an attempt to its sender's policy.
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn outcome(
-        &mut self, now: Nanos, sender: u32, webhook: u64, ep: u32, outcome: Outcome, took: f64, ended: bool,
-        report: Option<(f64, f64)>,
+    pub(super) fn report_outcome(
+        &mut self, now: Nanos, sender_id: u32, webhook_id: u64, endpoint_id: u32, outcome: Outcome,
+        duration_s: f64, has_final_answer: bool, limit_report: Option<(f64, f64)>,
     ) {
-        let name = std::mem::take(&mut self.fleet.names[ep as usize]);
-        self.input(sender, |p, out| {
-            p.attempt_ended(seconds(now), webhook, &name, outcome, took, ended, report, out)
+        let endpoint_name = std::mem::take(&mut self.fleet.endpoint_names[endpoint_id as usize]);
+        self.give_input(sender_id, |policy, actions| {
+            policy.attempt_ended(
+                seconds(now),
+                webhook_id,
+                &endpoint_name,
+                outcome,
+                duration_s,
+                has_final_answer,
+                limit_report,
+                actions,
+            )
         });
-        self.fleet.names[ep as usize] = name;
+        self.fleet.endpoint_names[endpoint_id as usize] = endpoint_name;
     }
 
-    pub(super) fn end(&mut self, now: Nanos, webhook: u64, end: Final, come_back: f64) {
-        let Some(hook) = (webhook as usize).checked_sub(1).and_then(|i| self.hooks.get_mut(i)) else {
+    /// Records a webhook's final answer; its client is done with the message or hands it in again.
+    pub(super) fn record_final_answer(
+        &mut self, now: Nanos, webhook_id: u64, final_answer: FinalAnswer, retry_after: f64,
+    ) {
+        let Some(webhook) =
+            (webhook_id as usize).checked_sub(1).and_then(|index| self.webhooks.get_mut(index))
+        else {
             return;
         };
-        let (message, sender, first) = (hook.message, hook.sender, !hook.ended);
-        hook.ended = true;
-        let (taken_at, ran) = (hook.taken_at, hook.ran.is_some());
-        // A second answer is written down, for the rules to see; nothing else comes of it.
-        self.log(LogEvent::End { webhook, sender, end });
-        if !first {
+        let (message_id, sender_id, is_first) =
+            (webhook.message_id, webhook.sender_id, !webhook.has_final_answer);
+        webhook.has_final_answer = true;
+        let (accepted_at, may_have_run) = (webhook.accepted_at, webhook.may_have_run.is_some());
+        // A second answer is logged, so that the rule checker sees it, and has no other effect.
+        self.log(LogEvent::End { webhook_id, sender_id, final_answer });
+        if !is_first {
             return;
         }
-        self.hosts[sender as usize].open.remove(&webhook);
-        self.measures.at_senders.leave(now, taken_at);
-        let m = &mut self.messages[message as usize];
-        let t = &self.world.event_types[usize::from(m.event_type)];
-        let counts = &mut self.measures.counts;
-        match end {
-            Final::Delivered => {
+        self.hosts[sender_id as usize].open_webhooks.remove(&webhook_id);
+        self.measurements.at_senders.leave(now, accepted_at);
+        let message = &mut self.messages[message_id as usize];
+        let event_type = &self.world.event_types[usize::from(message.event_type_id)];
+        let counts = &mut self.measurements.counts;
+        match final_answer {
+            FinalAnswer::Delivered => {
                 counts.delivered += 1;
-                let (first_at, value) = (m.first_at, t.value * worth(t, seconds(now - m.first_at)));
-                if !m.over {
-                    self.measures.won(first_at, now, value);
+                let (first_handed_in_at, value) = (
+                    message.first_handed_in_at,
+                    event_type.value
+                        * remaining_value_share(event_type, seconds(now - message.first_handed_in_at)),
+                );
+                if !message.settled {
+                    self.measurements.record_delivered(first_handed_in_at, now, value);
                 }
-                self.done(message);
+                self.settle_message(message_id);
             }
-            Final::Rejected => {
+            FinalAnswer::Rejected => {
                 counts.rejected += 1;
-                m.again += 1;
-                if m.over || m.again > self.world.clients.retries {
-                    self.done(message);
+                message.resubmissions += 1;
+                if message.settled || message.resubmissions > self.world.clients.max_retries {
+                    self.settle_message(message_id);
                 } else {
-                    self.again(now, message, come_back);
+                    self.schedule_retry(now, message_id, retry_after);
                 }
             }
-            Final::DeadLettered => {
+            FinalAnswer::DeadLettered => {
                 counts.dead_lettered += 1;
-                self.done(message);
+                self.settle_message(message_id);
             }
-            Final::Withdrawn => {
+            FinalAnswer::Withdrawn => {
                 counts.withdrawn += 1;
-                self.done(message);
+                self.settle_message(message_id);
             }
-            Final::Gone => {
-                if !ran || t.effect == Effect::Idempotent || (t.effect == Effect::Tokened && t.by_all) {
-                    self.again(now, message, 0.0);
+            FinalAnswer::Gone => {
+                if !may_have_run
+                    || event_type.effect == RepeatEffect::Idempotent
+                    || (event_type.effect == RepeatEffect::Tokened && event_type.token_shared_by_zones)
+                {
+                    self.schedule_retry(now, message_id, 0.0);
                 } else {
-                    self.done(message);
+                    self.settle_message(message_id);
                 }
             }
         }
     }
 
-    pub(super) fn start(&mut self, sender: u32) {
+    /// Starts a sender's process: its policy gets the last known list and all webhooks without final answer.
+    pub(super) fn start_sender(&mut self, sender_id: u32) {
         let now = self.queue.now();
-        let h = &mut self.hosts[sender as usize];
-        if h.up() {
+        let host = &mut self.hosts[sender_id as usize];
+        if host.is_running() {
             return;
         }
-        h.life += 1;
-        h.watching = false;
-        let life = h.life;
-        let seed = mix(self.seed ^ mix(u64::from(sender) << 32 | u64::from(life)));
-        let start = SenderStart { now: seconds(now), seed, sender_index: sender as usize, world: self.world };
-        h.policy = Some((self.maker)(start));
-        self.log(LogEvent::Started { sender });
-        let known: Vec<(u32, Listed)> = numbered(&self.hosts[sender as usize].known);
-        self.tell(now, sender, ListUpdate::Remembered, &known);
-        let open: Vec<u64> = self.hosts[sender as usize].open.iter().copied().collect();
-        for webhook in open {
-            let hook = &self.hooks[webhook as usize - 1];
-            // An earlier one of the same turn may have been its end.
-            if !hook.ended {
-                self.give(now, webhook, Some((hook.tries, hook.ran)));
+        host.incarnation += 1;
+        host.watching_list = false;
+        let incarnation = host.incarnation;
+        let seed = mix(self.seed ^ mix(u64::from(sender_id) << 32 | u64::from(incarnation)));
+        let start =
+            SenderStart { now: seconds(now), seed, sender_index: sender_id as usize, world: self.world };
+        host.policy = Some((self.policy_factory)(start));
+        self.log(LogEvent::Started { sender_id });
+        let known_list: Vec<(u32, Listed)> = with_ids(&self.hosts[sender_id as usize].known_list);
+        self.give_list_update(now, sender_id, ListUpdate::Remembered, &known_list);
+        let open_webhooks: Vec<u64> = self.hosts[sender_id as usize].open_webhooks.iter().copied().collect();
+        for webhook_id in open_webhooks {
+            let webhook = &self.webhooks[webhook_id as usize - 1];
+            // Resuming an earlier webhook may have made the policy answer this one.
+            if !webhook.has_final_answer {
+                self.give_webhook(now, webhook_id, Some((webhook.attempts_made, webhook.may_have_run)));
             }
         }
-        if !self.world.list.ask && now > 0 {
-            self.send_list(now, sender, ListUpdate::Whole, self.whole_list(sender));
+        if !self.world.endpoint_list.watch_required && now > 0 {
+            self.send_list_update(now, sender_id, ListUpdate::Whole, self.whole_list(sender_id));
         }
     }
 
-    pub(super) fn die(&mut self, now: Nanos, sender: u32) {
-        let h = &mut self.hosts[sender as usize];
-        if h.policy.take().is_none() {
+    /// Kills a sender's process. Its calls go on at their endpoints; without a journal its webhooks are lost.
+    pub(super) fn kill_sender(&mut self, now: Nanos, sender_id: u32) {
+        let host = &mut self.hosts[sender_id as usize];
+        if host.policy.take().is_none() {
             return;
         }
-        h.dead_since = now;
-        let outgoing = std::mem::take(&mut h.outgoing);
-        let calls: Vec<u32> = std::mem::take(&mut h.calls).into_iter().collect();
-        for (ep, pool) in std::mem::take(&mut h.idle) {
-            self.fleet.endpoints[ep as usize].connections -= pool.len();
+        host.killed_at = now;
+        let pending_batches = std::mem::take(&mut host.pending_batches);
+        let call_ids: Vec<u32> = std::mem::take(&mut host.calls_in_flight).into_iter().collect();
+        for (endpoint_id, connections) in std::mem::take(&mut host.idle_connections) {
+            self.fleet.endpoints[endpoint_id as usize].connections -= connections.len();
         }
-        let open: Vec<u64> = h.open.iter().copied().collect();
-        self.noticed_at[sender as usize] =
-            now + nanos(self.world.senders.notice_s.draw(&mut self.chance.front));
-        self.log(LogEvent::Killed { sender });
-        for at in calls {
-            let c = &mut self.calls[at as usize];
-            let (ep, sent_at) = (c.ep, c.sent_at);
-            let zone = self.fleet.endpoints[ep as usize].zone;
-            for webhook in std::mem::take(&mut c.hooks) {
-                let hook = &mut self.hooks[webhook as usize - 1];
-                hook.call = None;
-                hook.ran = hook.ran.or(Some((zone, sent_at)));
+        let open_webhooks: Vec<u64> = host.open_webhooks.iter().copied().collect();
+        self.death_noticed_at[sender_id as usize] =
+            now + nanos(self.world.senders.failure_detection_s.draw(&mut self.generators.load_balancer));
+        self.log(LogEvent::Killed { sender_id });
+        for call_id in call_ids {
+            let call = &mut self.calls[call_id as usize];
+            let (endpoint_id, sent_at) = (call.endpoint_id, call.sent_at);
+            let zone = self.fleet.endpoints[endpoint_id as usize].zone;
+            for webhook_id in std::mem::take(&mut call.webhook_ids) {
+                let webhook = &mut self.webhooks[webhook_id as usize - 1];
+                webhook.call = None;
+                webhook.may_have_run = webhook.may_have_run.or(Some((zone, sent_at)));
             }
-            self.leave(at);
+            self.release_by_sender(call_id);
         }
-        // Written down before they went out: they may have run.
-        for (webhook, ep) in outgoing.iter().flat_map(|b| b.webhooks.iter().map(move |w| (*w, b.ep))) {
-            let hook = &mut self.hooks[webhook as usize - 1];
-            hook.ran = hook.ran.or(Some((self.fleet.endpoints[ep as usize].zone, now)));
+        // The journal records attempts before they are sent, so these count as possibly run.
+        for (webhook_id, endpoint_id) in pending_batches.iter().flat_map(|batch| {
+            batch.webhook_ids.iter().map(move |webhook_id| (*webhook_id, batch.endpoint_id))
+        }) {
+            let webhook = &mut self.webhooks[webhook_id as usize - 1];
+            webhook.may_have_run =
+                webhook.may_have_run.or(Some((self.fleet.endpoints[endpoint_id as usize].zone, now)));
         }
         if !self.world.senders.journal {
-            for webhook in open {
-                self.end(now, webhook, Final::Gone, 0.0);
+            for webhook_id in open_webhooks {
+                self.record_final_answer(now, webhook_id, FinalAnswer::Gone, 0.0);
             }
         }
     }
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -1,13 +1,16 @@
-//! The world as data: what a file says of the day, the senders, what they deliver to, and the troubles. All times are
-//! seconds with fractions, all rates are per second, all shares lie between 0 and 1.
+//! The settings of a simulated world, as an experiment file has them: the day, senders, clients,
+//! destinations, network and injected faults. All times are in seconds, all rates are per second, all shares
+//! lie between 0 and 1. A field that has another name in the file carries it as its `rename`.
 
 use crate::random::Spread;
 use serde::{Deserialize, Serialize};
 
-/// Why a world cannot be played: the field, as a path with dots, and what is wrong with it.
+/// Why a world cannot be played.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorldError {
+    /// The field's path in the file, with dots.
     pub field: String,
+    /// What is wrong with it.
     pub why: String,
 }
 
@@ -17,42 +20,58 @@
     }
 }
 
+/// All settings of a simulated day.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct World {
+    /// Length and resolution of the day.
     pub day: Day,
+    /// The senders.
     #[serde(default)]
     pub senders: Senders,
+    /// The clients' traffic.
     pub clients: Clients,
+    /// Number and size of the destinations.
     #[serde(default)]
     pub destinations: Destinations,
+    /// Kinds of destinations.
     #[serde(default, rename = "kind")]
     pub destination_kinds: Vec<DestinationKind>,
+    /// Types of webhooks.
     #[serde(default, rename = "event_type")]
     pub event_types: Vec<EventType>,
+    /// Customers with a quota; empty: none.
     #[serde(default, rename = "customer")]
     pub customers: Vec<Customer>,
+    /// The network.
     #[serde(default)]
-    pub net: Net,
+    #[serde(rename = "net")]
+    pub network: Network,
+    /// How senders get the endpoint list.
     #[serde(default)]
-    pub list: List,
+    #[serde(rename = "list")]
+    pub endpoint_list: EndpointList,
+    /// Limits of the delivery rules.
     #[serde(default)]
-    pub rules: Rules,
+    pub rules: RuleSettings,
+    /// Faults to inject.
     #[serde(default, rename = "trouble")]
     pub faults: Vec<FaultSpec>,
 }
 
+/// Length and resolution of a day.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Day {
-    /// Webhooks are handed in for so long; what is held then is played to its end.
+    /// How long clients create messages; what is unfinished then is played to its end.
     pub length_s: f64,
-    /// The grid on which all events lie, in microseconds; 0 for none. On a coarse one many come at one instant.
+    /// Event times are rounded up to multiples of this, in microseconds; 0 for none. On a coarse grid many
+    /// events come at one instant.
     pub tick_us: u64,
-    /// Which order events of one instant come in: 0 as they came about, else shuffled by this number.
+    /// Seed that shuffles events of one instant; 0: in the order of their creation.
     #[serde(rename = "order")]
     pub shuffle_seed: u64,
-    /// The span of the figures that are given over time.
+    /// Length of the windows of the figures over time.
     pub window_s: f64,
 }
 
@@ -62,24 +81,36 @@
     }
 }
 
+/// The senders; all are alike.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Senders {
+    /// How many there are.
     pub count: usize,
-    /// What a sender has taken on outlives a kill.
+    /// Whether accepted webhooks survive a kill.
     pub journal: bool,
-    /// Calls out at once, and webhooks held, sent or not, of one sender.
+    /// Calls that one sender may have in flight at once.
     pub slots: usize,
-    pub holds: usize,
-    pub attempts: u32,
-    pub may_call_off: bool,
-    /// The longest time to come back that clients heed; 0 where none may be named.
-    pub come_back_s: f64,
-    /// How long a connection that is not in use stays open.
-    pub idle_s: f64,
+    /// Webhooks without final answer that one sender may have.
+    #[serde(rename = "holds")]
+    pub max_pending: usize,
+    /// Attempts for one webhook.
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
+    /// Whether attempts in flight may be cancelled.
+    #[serde(rename = "may_call_off")]
+    pub may_cancel: bool,
+    /// The longest retry-after time that clients heed; 0: none may be given.
+    #[serde(rename = "come_back_s")]
+    pub max_retry_after_s: f64,
+    /// How long an unused connection stays open.
+    #[serde(rename = "idle_s")]
+    pub idle_timeout_s: f64,
+    /// How long opening a connection may take.
     pub connect_timeout_s: f64,
-    /// How long clients go on handing in at a dead sender.
-    pub notice_s: Spread,
+    /// How long the load balancer still sends messages to a dead sender.
+    #[serde(rename = "notice_s")]
+    pub failure_detection_s: Spread,
 }
 
 impl Default for Senders {
@@ -88,59 +119,79 @@
             count: 3,
             journal: true,
             slots: 64,
-            holds: 2_000,
-            attempts: 8,
-            may_call_off: true,
-            come_back_s: 2.0,
-            idle_s: 5.0,
+            max_pending: 2_000,
+            max_attempts: 8,
+            may_cancel: true,
+            max_retry_after_s: 2.0,
+            idle_timeout_s: 5.0,
             connect_timeout_s: 1.0,
-            notice_s: Spread::fixed(1.0),
+            failure_detection_s: Spread::fixed(1.0),
         }
     }
 }
 
+/// The course of the clients' rate over the day.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Curve {
+    /// Constant.
     #[default]
     Steady,
-    /// A sine over the day.
+    /// A sine.
     Wave,
-    /// By `points`, with straight lines between them.
+    /// Linear between `points`.
     Points,
 }
 
+/// The clients' traffic, and how they react to rejections.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// Webhooks a second, all clients together, that are handed in for the first time (Poisson).
+    /// New messages per second from all clients together (Poisson).
     pub rate: f64,
+    /// Course of the rate.
     pub curve: Curve,
-    /// For `wave`: how far the rate swings, as a share of it, and how long a swing takes.
-    pub swing: f64,
-    pub swing_s: f64,
-    /// For `points`: times of the day and the factor of the rate there.
+    /// For `wave`: the amplitude as a share of the rate.
+    #[serde(rename = "swing")]
+    pub wave_amplitude: f64,
+    /// For `wave`: the period.
+    #[serde(rename = "swing_s")]
+    pub wave_period_s: f64,
+    /// For `points`: seconds of the day, and the factor of the rate there.
     pub points: Vec<(f64, f64)>,
-    /// Share of the webhooks that come in clumps for one destination: how many, over how long.
+    /// Share of the messages that come in clumps: bursts for one destination.
     pub clump_share: f64,
+    /// Messages in a clump.
     pub clump_size: usize,
+    /// Time over which a clump is spread.
     pub clump_s: f64,
-    /// How often a client hands a rejected webhook in again, after how long, and whether the time doubles.
-    pub retries: u32,
-    pub again_s: Spread,
-    pub doubles: bool,
-    /// Share of clients that heed a time to come back.
-    pub heed: f64,
-    /// Share of webhooks that clients withdraw, and after how long.
+    /// How often a client hands a rejected message in again.
+    #[serde(rename = "retries")]
+    pub max_retries: u32,
+    /// After how long it does so.
+    #[serde(rename = "again_s")]
+    pub retry_delay_s: Spread,
+    /// Whether that time doubles with each rejection.
+    #[serde(rename = "doubles")]
+    pub retry_delay_doubles: bool,
+    /// Share of the rejections whose retry-after time the client heeds.
+    #[serde(rename = "heed")]
+    pub heed_retry_after_share: f64,
+    /// Share of the messages that clients withdraw.
     #[serde(rename = "withdraw")]
     pub withdraw_share: f64,
-    pub withdraw_s: Spread,
-    /// Share of webhooks that come with little time left, and how much.
+    /// After how long they do so.
+    #[serde(rename = "withdraw_s")]
+    pub withdraw_delay_s: Spread,
+    /// Share of the messages that are handed in with a short TTL.
     #[serde(rename = "short")]
     pub short_ttl_share: f64,
-    pub short_s: Spread,
-    /// Keys of a destination, for event types in order.
-    pub keys: u64,
+    /// That TTL, at most the one of the event type.
+    #[serde(rename = "short_s")]
+    pub short_ttl_s: Spread,
+    /// Ordering keys of a destination, for ordered event types.
+    #[serde(rename = "keys")]
+    pub keys_per_destination: u64,
 }
 
 impl Default for Clients {
@@ -148,86 +199,113 @@
         Clients {
             rate: 100.0,
             curve: Curve::Steady,
-            swing: 0.2,
-            swing_s: 20.0,
+            wave_amplitude: 0.2,
+            wave_period_s: 20.0,
             points: Vec::new(),
             clump_share: 0.0,
             clump_size: 10,
             clump_s: 0.1,
-            retries: 2,
-            again_s: Spread { mean_s: 1.0, shape: crate::random::Shape::Uniform, cv: 1.0 },
-            doubles: true,
-            heed: 0.7,
+            max_retries: 2,
+            retry_delay_s: Spread { mean_s: 1.0, shape: crate::random::Shape::Uniform, cv: 1.0 },
+            retry_delay_doubles: true,
+            heed_retry_after_share: 0.7,
             withdraw_share: 0.0,
-            withdraw_s: Spread::fixed(1.0),
+            withdraw_delay_s: Spread::fixed(1.0),
             short_ttl_share: 0.0,
-            short_s: Spread::fixed(0.5),
-            keys: 8,
+            short_ttl_s: Spread::fixed(0.5),
+            keys_per_destination: 8,
         }
     }
 }
 
+/// Number and size of the destinations.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Destinations {
+    /// How many there are.
     pub count: usize,
-    /// Exponent of the Zipf law by which traffic falls on them.
-    pub skew: f64,
-    /// Endpoints of one destination, from and to.
-    pub endpoints: (usize, usize),
+    /// Exponent of the Zipf distribution of traffic over them.
+    #[serde(rename = "skew")]
+    pub zipf_exponent: f64,
+    /// Fewest and most endpoints of one destination.
+    #[serde(rename = "endpoints")]
+    pub endpoint_count: (usize, usize),
 }
 
 impl Default for Destinations {
     fn default() -> Self {
-        Destinations { count: 20, skew: 0.8, endpoints: (1, 4) }
+        Destinations { count: 20, zipf_exponent: 0.8, endpoint_count: (1, 4) }
     }
 }
 
+/// How a destination limits its calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LimitBy {
-    /// Its capacity alone.
+    /// Only by its capacity.
     #[default]
     None,
-    /// So many calls in each span.
+    /// A number of calls in each fixed window.
     Span,
-    /// A bucket that fills at the rate and holds a span's worth.
+    /// A bucket that drains at the rate and holds the calls of one window.
     Rate,
 }
 
+/// A kind of destination.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DestinationKind {
+    /// Its name, unique among the kinds.
     pub name: String,
-    /// How many of the destinations are of it, against the other kinds.
+    /// Weight of this kind in the draw of each destination's kind.
     pub share: f64,
-    /// Endpoints are routes apart, each with its own limit.
-    pub apart: bool,
-    /// Webhooks in one call at most, and the work of each further one as a share of the first.
-    pub batch: usize,
-    pub item_cost: f64,
-    pub service: Spread,
+    /// Whether each endpoint has its own limit, waits and outages.
+    #[serde(rename = "apart")]
+    pub independent_endpoints: bool,
+    /// Webhooks in one call at most.
+    #[serde(rename = "batch")]
+    pub max_batch: usize,
+    /// Work of each further webhook of a call, as a share of the first.
+    #[serde(rename = "item_cost")]
+    pub extra_item_cost: f64,
+    /// Work of a call with one webhook.
+    #[serde(rename = "service")]
+    pub service_time: Spread,
     /// Calls that an endpoint works on at once; 0: as many as its capacity needs.
     pub workers: usize,
-    /// Calls that wait at an endpoint at most.
-    pub queue: usize,
-    /// Connections that an endpoint takes.
-    pub connections: usize,
-    /// Calls a second of a destination (or route): this multiple of its traffic, and at least `least_rate`. Without
-    /// a limit that is its capacity; with one the capacity is `spare` times it.
+    /// Calls that may wait at an endpoint.
+    #[serde(rename = "queue")]
+    pub max_waiting: usize,
+    /// Connections that an endpoint accepts.
+    #[serde(rename = "connections")]
+    pub max_connections: usize,
+    /// Calls per second of a destination (or independent endpoint), as a multiple of its traffic and at least
+    /// `min_rate`. Without a limit that is its capacity; with one the capacity is `capacity_multiple` times
+    /// it.
     pub headroom: f64,
-    pub least_rate: f64,
-    pub spare: f64,
+    /// The lowest rate of a destination.
+    #[serde(rename = "least_rate")]
+    pub min_rate: f64,
+    /// Capacity as a multiple of the limit.
+    #[serde(rename = "spare")]
+    pub capacity_multiple: f64,
+    /// How calls are limited.
     pub limit: LimitBy,
-    pub span_s: f64,
-    /// Share of refusals that tell how long to wait.
-    pub tells_wait: f64,
-    /// Share of calls that fail on a calm day.
-    pub errors: f64,
-    /// Answers report the share of the limit that is left, and the limit.
-    pub reports: bool,
-    /// Whether a call that the sender has left is taken out while it waits.
-    pub cancels: bool,
+    /// Window of the limit.
+    #[serde(rename = "span_s")]
+    pub limit_window_s: f64,
+    /// Share of the refusals that say how long to wait.
+    #[serde(rename = "tells_wait")]
+    pub retry_after_share: f64,
+    /// Share of the calls that fail without any fault.
+    #[serde(rename = "errors")]
+    pub error_share: f64,
+    /// Whether answers report the share of the limit that is left, and the limit.
+    #[serde(rename = "reports")]
+    pub reports_limit: bool,
+    /// Whether a waiting call is dropped once its sender no longer waits for it.
+    #[serde(rename = "cancels")]
+    pub drops_cancelled: bool,
 }
 
 impl Default for DestinationKind {
@@ -235,50 +313,69 @@
         DestinationKind {
             name: "plain".into(),
             share: 1.0,
-            apart: false,
-            batch: 1,
-            item_cost: 0.2,
-            service: Spread { mean_s: 0.1, shape: crate::random::Shape::Lognormal, cv: 0.6 },
+            independent_endpoints: false,
+            max_batch: 1,
+            extra_item_cost: 0.2,
+            service_time: Spread { mean_s: 0.1, shape: crate::random::Shape::Lognormal, cv: 0.6 },
             workers: 0,
-            queue: 32,
-            connections: 400,
+            max_waiting: 32,
+            max_connections: 400,
             headroom: 1.6,
-            least_rate: 4.0,
-            spare: 1.3,
+            min_rate: 4.0,
+            capacity_multiple: 1.3,
             limit: LimitBy::None,
-            span_s: 1.0,
-            tells_wait: 0.5,
-            errors: 0.0,
-            reports: false,
-            cancels: false,
+            limit_window_s: 1.0,
+            retry_after_share: 0.5,
+            error_share: 0.0,
+            reports_limit: false,
+            drops_cancelled: false,
         }
     }
 }
 
+/// What a repeat of a webhook does at its destination.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Effect {
+pub enum RepeatEffect {
+    /// No harm.
     Idempotent,
+    /// It is recognised and dropped by its token, while the token is known.
     #[default]
     Tokened,
+    /// It takes effect again: such a webhook must not be repeated.
     AtMostOnce,
 }
 
+/// A type of webhook.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EventType {
+    /// Its name, unique among the types.
     pub name: String,
+    /// Weight of this type in the draw of each message's type.
     pub share: f64,
-    pub target_s: f64,
+    /// Latency up to which a delivery has its full value.
+    #[serde(rename = "target_s")]
+    pub target_latency_s: f64,
+    /// Time to live from the first hand-in.
     pub ttl_s: f64,
+    /// Value of a delivery in time.
     pub value: f64,
-    /// Share of the value that is left at TTL, reached by halving with each further target latency, or evenly.
-    pub late: f64,
-    pub halves: bool,
-    pub effect: Effect,
-    /// How long a repeat of a tokened webhook is known, and whether by all endpoints or those of one zone.
-    pub known_s: f64,
-    pub by_all: bool,
+    /// Share of the value that is left at TTL.
+    #[serde(rename = "late")]
+    pub late_value_share: f64,
+    /// Whether the value halves with each further target latency down to that share; else it falls linearly.
+    #[serde(rename = "halves")]
+    pub value_halves: bool,
+    /// What a repeat does.
+    pub effect: RepeatEffect,
+    /// How long a token is known.
+    #[serde(rename = "known_s")]
+    pub token_lifetime_s: f64,
+    /// Whether tokens are known to all endpoints of the destination, or only to those of the same zone.
+    #[serde(rename = "by_all")]
+    pub token_shared_by_zones: bool,
+    /// Whether webhooks with the same ordering key go one after another.
     pub ordered: bool,
 }
 
@@ -287,349 +384,415 @@
         EventType {
             name: "update".into(),
             share: 1.0,
-            target_s: 3.0,
+            target_latency_s: 3.0,
             ttl_s: 16.0,
             value: 1.0,
-            late: 0.3,
-            halves: true,
-            effect: Effect::Tokened,
-            known_s: 15.0,
-            by_all: false,
+            late_value_share: 0.3,
+            value_halves: true,
+            effect: RepeatEffect::Tokened,
+            token_lifetime_s: 15.0,
+            token_shared_by_zones: false,
             ordered: false,
         }
     }
 }
 
+/// A customer, on whose behalf clients hand in messages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
+    /// Its name.
     pub name: String,
+    /// Weight of this customer in the draw of each message's customer.
     pub share: f64,
-    /// Webhooks a second from all senders; value beyond it counts `over` times.
+    /// Webhooks per second from all senders; value beyond the quota counts `over_quota_weight` times.
     pub quota: f64,
+    /// Weight of the value beyond the quota.
     #[serde(default)]
-    pub over: f64,
+    #[serde(rename = "over")]
+    pub over_quota_weight: f64,
 }
 
+/// The network between clients, senders and destinations.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Net {
+pub struct Network {
+    /// Number of zones.
     pub zones: usize,
-    /// One way, within a zone and between zones.
-    pub same: Spread,
-    pub cross: Spread,
-    pub client: Spread,
-    /// Share of messages lost on the way, each of them sent again after `resend_s`, twice as long each time.
-    pub loss: f64,
-    pub resend_s: f64,
-    /// Share of calls whose connection is reset.
-    pub resets: f64,
-    /// Round trips before a new connection carries a call.
-    pub handshakes: f64,
+    /// One-way delay within a zone.
+    #[serde(rename = "same")]
+    pub same_zone_delay: Spread,
+    /// One-way delay between zones.
+    #[serde(rename = "cross")]
+    pub cross_zone_delay: Spread,
+    /// One-way delay from clients to senders.
+    #[serde(rename = "client")]
+    pub client_delay: Spread,
+    /// Share of network messages that are lost; each is sent again after `retransmit_s`, doubled with each
+    /// loss.
+    #[serde(rename = "loss")]
+    pub loss_share: f64,
+    /// Time to the first retransmission.
+    #[serde(rename = "resend_s")]
+    pub retransmit_s: f64,
+    /// Share of the calls whose connection is reset.
+    #[serde(rename = "resets")]
+    pub reset_share: f64,
+    /// Round trips until a new connection can carry a call.
+    #[serde(rename = "handshakes")]
+    pub handshake_round_trips: f64,
 }
 
-impl Default for Net {
+impl Default for Network {
     fn default() -> Self {
         let shape = crate::random::Shape::Uniform;
-        Net {
+        Network {
             zones: 3,
-            same: Spread { mean_s: 0.002, shape, cv: 1.0 },
-            cross: Spread { mean_s: 0.02, shape, cv: 1.0 },
-            client: Spread::fixed(0.001),
-            loss: 0.0,
-            resend_s: 0.2,
-            resets: 0.0,
-            handshakes: 2.0,
+            same_zone_delay: Spread { mean_s: 0.002, shape, cv: 1.0 },
+            cross_zone_delay: Spread { mean_s: 0.02, shape, cv: 1.0 },
+            client_delay: Spread::fixed(0.001),
+            loss_share: 0.0,
+            retransmit_s: 0.2,
+            reset_share: 0.0,
+            handshake_round_trips: 2.0,
         }
     }
 }
 
+/// How senders get the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct List {
-    /// It has to be asked for; otherwise changes come by themselves.
-    pub ask: bool,
-    pub within_s: f64,
-    /// From a change until a sender hears of it.
-    pub delay: Spread,
+pub struct EndpointList {
+    /// Whether senders have to watch the list to get its changes; otherwise they get them unasked.
+    #[serde(rename = "ask")]
+    pub watch_required: bool,
+    /// How long a sender may go without a watch.
+    #[serde(rename = "within_s")]
+    pub max_watch_interval_s: f64,
+    /// Time from a change until it reaches a sender.
+    #[serde(rename = "delay")]
+    pub update_delay: Spread,
 }
 
-impl Default for List {
+impl Default for EndpointList {
     fn default() -> Self {
-        List { ask: false, within_s: 10.0, delay: Spread::fixed(0.5) }
+        EndpointList { watch_required: false, max_watch_interval_s: 10.0, update_delay: Spread::fixed(0.5) }
     }
 }
 
-/// The figures of the rules, and those by which a destination that returns falls over.
+/// Limits of the delivery rules, and how a destination comes back from an outage.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Rules {
-    /// A final answer may come so much after TTL.
+pub struct RuleSettings {
+    /// How long after TTL a final answer may come.
     pub answer_grace_s: f64,
-    /// Sends to an endpoint that drains or is gone stop within this time after the sender was told.
+    /// How long after the list update a sender may still send to an endpoint that drains or is gone.
     pub drain_grace_s: f64,
-    pub cold_from: f64,
-    pub warm_s: f64,
-    pub fall_multiple: f64,
-    pub fall_s: f64,
-    /// How long an endpoint that fell over stays down.
-    pub fallen_s: f64,
-    pub key_rest_s: f64,
+    /// Share of its capacity that an endpoint has right after an outage.
+    #[serde(rename = "cold_from")]
+    pub initial_capacity_share: f64,
+    /// Time after which it has all of its capacity again.
+    #[serde(rename = "warm_s")]
+    pub warm_up_s: f64,
+    /// A cold destination goes down again where more than this multiple of its present capacity is sent to
+    /// it.
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
+    /// Time over which its calls are counted for that.
+    #[serde(rename = "fall_s")]
+    pub overload_span_s: f64,
+    /// How long an overloaded endpoint stays down.
+    #[serde(rename = "fallen_s")]
+    pub overload_outage_s: f64,
+    /// How long an ordering key is blocked for other webhooks after an attempt that may still run.
+    #[serde(rename = "key_rest_s")]
+    pub key_cooldown_s: f64,
 }
 
-impl Default for Rules {
+impl Default for RuleSettings {
     fn default() -> Self {
-        Rules {
+        RuleSettings {
             answer_grace_s: 0.02,
             drain_grace_s: 0.5,
-            cold_from: 0.3,
-            warm_s: 12.0,
-            fall_multiple: 1.5,
-            fall_s: 1.5,
-            fallen_s: 5.0,
-            key_rest_s: 0.5,
+            initial_capacity_share: 0.3,
+            warm_up_s: 12.0,
+            overload_multiple: 1.5,
+            overload_span_s: 1.5,
+            overload_outage_s: 5.0,
+            key_cooldown_s: 0.5,
         }
     }
 }
 
-/// What can go wrong. `size` and `extra` mean what the line says.
+/// What can go wrong. `size` has the meaning that is given at each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Endpoints refuse connections; calls under way are reset.
+    /// Endpoints refuse connections; calls in flight are reset.
     Down,
-    /// Endpoints say nothing, not even to a connection.
+    /// Endpoints do not answer, not even to open a connection.
     Silent,
-    /// Endpoints take calls and answer none.
+    /// Endpoints accept calls and never answer them.
     Hang,
-    /// Endpoints work `size` times as long.
+    /// Calls take `size` times as much work.
     Slow,
-    /// A share `size` of calls fails.
+    /// A share `size` of the calls fails.
     Errors,
-    /// Endpoints do nothing for `size` seconds out of every `extra`.
+    /// Endpoints pause for `size` seconds out of every `period_s`.
     Pauses,
-    /// Endpoints refuse all; they open at the end, and say so as often as their kind tells waits.
+    /// Endpoints refuse all calls. Refusals ask for a wait until the end of the fault, as often as the kind
+    /// of destination asks for waits.
     Shut,
-    /// The limit is `size` times what it was.
+    /// The limit is multiplied by `size`.
     Limit,
-    /// A share `size` of messages is lost on the way.
+    /// A share `size` of the network messages is lost.
     Loss,
-    /// `size` seconds more on the way.
+    /// The one-way delay is `size` seconds longer.
     Delay,
-    /// A share `size` of calls is reset.
+    /// A share `size` of the calls is reset.
     Resets,
-    /// What is sent to endpoints arrives only when it is over.
+    /// What is sent to endpoints arrives only after the fault.
     StallOut,
-    /// Answers of endpoints arrive only when it is over.
+    /// Answers of endpoints arrive only after the fault.
     StallBack,
-    /// New connections take `size` seconds more.
+    /// Opening a connection takes `size` seconds longer.
     SlowConnect,
-    /// Connections that were idle for `size` seconds lose the next call.
+    /// A call on a connection that was idle for `size` seconds is lost.
     Forgets,
-    /// Changes of the list come `size` seconds later.
+    /// List updates arrive `size` seconds later.
     ListLate,
-    /// Watches fail and break.
+    /// Watches of the list fail, and open ones break.
     ListRefused,
-    /// Listed rates are `size` times what they are.
+    /// Listed rates are multiplied by `size`.
     ListWrong,
-    /// Endpoints drain, and are listed again at the end.
+    /// Endpoints drain, and are ready again after the fault.
     Drain,
-    /// Endpoints leave the list and are gone; they come back at the end.
+    /// Endpoints leave the list and go down; they come back after the fault.
     Leave,
-    /// Senders are killed, and start again at the end.
+    /// Senders are killed, and start again after the fault.
     Kill,
-    /// Senders end as planned, over `size` seconds, and start again at the end.
+    /// Senders shut down as planned within `size` seconds, and start again after the fault.
     Restart,
-    /// Arrivals come `size` times as often.
+    /// The rate of new messages is multiplied by `size`.
     Surge,
-    /// `size` webhooks for each struck destination, over the trouble's length.
+    /// `size` extra messages for each affected destination, spread over the fault.
     Clump,
 }
 
-/// Which of the endpoints, destinations or senders a trouble strikes: all that meet every condition.
+/// Which endpoints, destinations or senders a fault affects: those that meet all conditions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FaultTarget {
-    /// By number, from 0. Empty: any.
+    /// Sender ids, from 0. Empty, here and below: any.
     pub senders: Vec<usize>,
+    /// Destination ids, from 0.
     pub destinations: Vec<usize>,
-    /// An endpoint's number within its destination.
+    /// Numbers of endpoints within their destinations, from 0.
     pub endpoints: Vec<usize>,
+    /// Zones, from 0.
     pub zones: Vec<usize>,
+    /// Names of kinds of destinations.
     #[serde(rename = "kinds")]
     pub destination_kinds: Vec<String>,
-    /// The share of the destinations (for troubles of senders: of the senders) struck, chosen by chance; 0: all.
+    /// Share of the destinations (for faults of senders: of the senders), chosen at random; 0: all.
     #[serde(rename = "part")]
     pub share: f64,
 }
 
+/// A fault to inject.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultSpec {
+    /// What goes wrong.
     #[serde(rename = "what")]
     pub kind: FaultKind,
+    /// When it begins.
     #[serde(rename = "at_s")]
     pub start_s: f64,
+    /// How long it lasts.
     #[serde(default)]
     #[serde(rename = "for_s")]
     pub duration_s: f64,
+    /// How much; see [`FaultKind`].
     #[serde(default)]
     pub size: f64,
+    /// For pauses: from the start of one to the start of the next.
     #[serde(default)]
     #[serde(rename = "extra")]
     pub period_s: f64,
+    /// Whom it affects.
     #[serde(default)]
     #[serde(rename = "on")]
     pub target: FaultTarget,
 }
 
 impl World {
-    /// Says what is contradictory or cannot be played.
+    /// Checks that the settings are in range and consistent; the error names the first field that is not.
     pub fn check(&self) -> Result<(), WorldError> {
-        let fault = |field: &str, why: &str| Err(WorldError { field: field.into(), why: why.into() });
+        let error = |field: &str, why: &str| Err(WorldError { field: field.into(), why: why.into() });
         let sizes = [
             ("day.length_s", self.day.length_s),
             ("day.window_s", self.day.window_s),
             ("clients.rate", self.clients.rate),
-            ("rules.cold_from", self.rules.cold_from),
-            ("rules.fall_s", self.rules.fall_s),
-            ("list.within_s", self.list.within_s),
+            ("rules.cold_from", self.rules.initial_capacity_share),
+            ("rules.fall_s", self.rules.overload_span_s),
+            ("list.within_s", self.endpoint_list.max_watch_interval_s),
         ];
-        for (field, v) in sizes {
-            if !(v.is_finite() && v > 0.0) {
-                return fault(field, "must be a number above 0");
+        for (field, value) in sizes {
+            if !(value.is_finite() && value > 0.0) {
+                return error(field, "must be a number above 0");
             }
         }
         let counts = [
             ("senders.count", self.senders.count),
             ("senders.slots", self.senders.slots),
-            ("senders.holds", self.senders.holds),
+            ("senders.holds", self.senders.max_pending),
             ("destinations.count", self.destinations.count),
-            ("net.zones", self.net.zones),
+            ("net.zones", self.network.zones),
         ];
-        for (field, v) in counts {
-            if v == 0 {
-                return fault(field, "must be at least 1");
+        for (field, value) in counts {
+            if value == 0 {
+                return error(field, "must be at least 1");
             }
         }
         let shares = [
             ("clients.clump_share", self.clients.clump_share),
-            ("clients.heed", self.clients.heed),
+            ("clients.heed", self.clients.heed_retry_after_share),
             ("clients.withdraw", self.clients.withdraw_share),
             ("clients.short", self.clients.short_ttl_share),
-            ("net.loss", self.net.loss),
-            ("net.resets", self.net.resets),
-            ("rules.cold_from", self.rules.cold_from),
+            ("net.loss", self.network.loss_share),
+            ("net.resets", self.network.reset_share),
+            ("rules.cold_from", self.rules.initial_capacity_share),
         ];
-        for (field, v) in shares {
-            if !(0.0..=1.0).contains(&v) {
-                return fault(field, "is a share: it lies between 0 and 1");
+        for (field, value) in shares {
+            if !(0.0..=1.0).contains(&value) {
+                return error(field, "must be a share between 0 and 1");
             }
         }
-        if self.net.loss >= 1.0 {
-            return fault("net.loss", "must be below 1: nothing would ever arrive");
+        if self.network.loss_share >= 1.0 {
+            return error("net.loss", "must be below 1: nothing would ever arrive");
         }
-        let (from, to) = self.destinations.endpoints;
-        if from == 0 || from > to || to > 64 {
-            return fault(
+        let (fewest, most) = self.destinations.endpoint_count;
+        if fewest == 0 || fewest > most || most > 64 {
+            return error(
                 "destinations.endpoints",
-                "needs two whole numbers from 1 to 64, the smaller first",
+                "must be two whole numbers from 1 to 64, the smaller one first",
             );
         }
         if self.destination_kinds.is_empty() {
-            return fault("kind", "names no kind of destination");
+            return error("kind", "at least one kind of destination is required");
         }
         if self.event_types.is_empty() {
-            return fault("event_type", "names no event type");
+            return error("event_type", "at least one event type is required");
         }
         if self.clients.curve == Curve::Points
-            && (self.clients.points.is_empty() || !self.clients.points.is_sorted_by(|a, b| a.0 < b.0))
+            && (self.clients.points.is_empty()
+                || !self.clients.points.is_sorted_by(|earlier, later| earlier.0 < later.0))
         {
-            return fault("clients.points", "needs points whose times rise, as the curve goes by them");
+            return error(
+                "clients.points",
+                "must have points in ascending order of time for the curve \"points\"",
+            );
         }
         if self.clients.curve != Curve::Points && !self.clients.points.is_empty() {
-            return fault("clients.points", "has no meaning unless the curve is \"points\"");
+            return error("clients.points", "is allowed only with the curve \"points\"");
         }
-        for (i, k) in self.destination_kinds.iter().enumerate() {
-            let at = |f: &str| format!("kind.{i}.{f}");
-            if self.destination_kinds[..i].iter().any(|x| x.name == k.name) {
-                return fault(&at("name"), "is the name of an earlier kind too");
+        for (index, kind) in self.destination_kinds.iter().enumerate() {
+            let path = |field: &str| format!("kind.{index}.{field}");
+            if self.destination_kinds[..index].iter().any(|earlier| earlier.name == kind.name) {
+                return error(&path("name"), "is already the name of an earlier kind");
             }
-            if k.batch == 0 {
-                return fault(&at("batch"), "must be at least 1");
+            if kind.max_batch == 0 {
+                return error(&path("batch"), "must be at least 1");
             }
-            if k.limit == LimitBy::None && k.reports {
-                return fault(&at("reports"), "has no limit to report; set `limit`");
+            if kind.limit == LimitBy::None && kind.reports_limit {
+                return error(&path("reports"), "needs a limit to report; set `limit`");
             }
-            if k.limit != LimitBy::None && k.span_s <= 0.0 {
-                return fault(&at("span_s"), "must be above 0 where there is a limit");
+            if kind.limit != LimitBy::None && kind.limit_window_s <= 0.0 {
+                return error(&path("span_s"), "must be above 0 where there is a limit");
             }
-            if k.headroom <= 0.0 || k.least_rate <= 0.0 || k.spare < 1.0 {
-                return fault(&at("headroom"), "headroom and least_rate must be above 0, spare at least 1");
+            if kind.headroom <= 0.0 || kind.min_rate <= 0.0 || kind.capacity_multiple < 1.0 {
+                return error(&path("headroom"), "headroom and least_rate must be above 0, spare at least 1");
             }
-            if k.connections == 0 {
-                return fault(&at("connections"), "must be at least 1");
+            if kind.max_connections == 0 {
+                return error(&path("connections"), "must be at least 1");
             }
         }
-        for (i, t) in self.event_types.iter().enumerate() {
-            let at = |f: &str| format!("event_type.{i}.{f}");
-            if self.event_types[..i].iter().any(|x| x.name == t.name) {
-                return fault(&at("name"), "is the name of an earlier event type too");
+        for (index, event_type) in self.event_types.iter().enumerate() {
+            let path = |field: &str| format!("event_type.{index}.{field}");
+            if self.event_types[..index].iter().any(|earlier| earlier.name == event_type.name) {
+                return error(&path("name"), "is already the name of an earlier event type");
             }
-            if t.ttl_s < t.target_s || t.target_s <= 0.0 {
-                return fault(&at("ttl_s"), "must be at least the target latency, which must be above 0");
+            if event_type.ttl_s < event_type.target_latency_s || event_type.target_latency_s <= 0.0 {
+                return error(&path("ttl_s"), "must be at least the target latency, which must be above 0");
             }
-            if t.effect == Effect::Tokened && t.known_s <= 0.0 {
-                return fault(
-                    &at("known_s"),
-                    "must be above 0 for a tokened type: a repeat is known for so long",
+            if event_type.effect == RepeatEffect::Tokened && event_type.token_lifetime_s <= 0.0 {
+                return error(
+                    &path("known_s"),
+                    "must be above 0 for a tokened type: it is how long a token is known",
                 );
             }
         }
-        for (i, t) in self.faults.iter().enumerate() {
-            let at = |f: &str| format!("trouble.{i}.{f}");
-            let ends = t.start_s + t.duration_s;
-            if !(t.start_s >= 0.0 && t.duration_s >= 0.0 && ends.is_finite()) {
-                return fault(&at("at_s"), "a trouble begins at 0 or later and lasts a time of 0 or more");
+        for (index, fault) in self.faults.iter().enumerate() {
+            let path = |field: &str| format!("trouble.{index}.{field}");
+            let ends_at_s = fault.start_s + fault.duration_s;
+            if !(fault.start_s >= 0.0 && fault.duration_s >= 0.0 && ends_at_s.is_finite()) {
+                return error(&path("at_s"), "at_s and for_s must be finite numbers of at least 0");
             }
             use FaultKind::*;
-            match t.kind {
+            match fault.kind {
                 Errors | Loss | Resets
-                    if !(0.0..=1.0).contains(&t.size) || (t.kind == Loss && t.size >= 1.0) =>
+                    if !(0.0..=1.0).contains(&fault.size) || (fault.kind == Loss && fault.size >= 1.0) =>
                 {
-                    return fault(&at("size"), "is a share here: it lies between 0 and 1");
+                    return error(&path("size"), "must be a share between 0 and 1 for this kind of fault");
                 }
-                Slow | Limit | Surge | ListWrong | Clump if t.size <= 0.0 => {
-                    return fault(&at("size"), "must be above 0: a factor, or for a clump a count");
+                Slow | Limit | Surge | ListWrong | Clump if fault.size <= 0.0 => {
+                    return error(&path("size"), "must be above 0: it is a factor, or for a clump a count");
                 }
-                Pauses if !(t.size > 0.0 && t.period_s > t.size) => {
-                    return fault(&at("extra"), "must be above size: so many seconds out of every `extra`");
+                Pauses if !(fault.size > 0.0 && fault.period_s > fault.size) => {
+                    return error(
+                        &path("extra"),
+                        "must be above size: endpoints pause for `size` seconds out of every `extra`",
+                    );
                 }
-                Restart if t.duration_s < t.size => {
-                    return fault(&at("for_s"), "must be at least size, the time that the planned end takes");
+                Restart if fault.duration_s < fault.size => {
+                    return error(
+                        &path("for_s"),
+                        "must be at least size, the duration of the planned shutdown",
+                    );
                 }
-                _ if t.size < 0.0 => return fault(&at("size"), "must not be below 0"),
+                _ if fault.size < 0.0 => return error(&path("size"), "must not be below 0"),
                 _ => {}
             }
-            if let Some(n) = t.target.senders.iter().find(|n| **n >= self.senders.count) {
-                return fault(&at("on.senders"), &format!("there is no sender {n}; they count from 0"));
+            if let Some(sender_id) =
+                fault.target.senders.iter().find(|sender_id| **sender_id >= self.senders.count)
+            {
+                return error(
+                    &path("on.senders"),
+                    &format!("there is no sender {sender_id}; ids count from 0"),
+                );
             }
-            if let Some(n) = t.target.destinations.iter().find(|n| **n >= self.destinations.count) {
-                return fault(
-                    &at("on.destinations"),
-                    &format!("there is no destination {n}; they count from 0"),
+            if let Some(destination_id) = fault
+                .target
+                .destinations
+                .iter()
+                .find(|destination_id| **destination_id >= self.destinations.count)
+            {
+                return error(
+                    &path("on.destinations"),
+                    &format!("there is no destination {destination_id}; ids count from 0"),
                 );
             }
-            if let Some(k) = t
+            if let Some(name) = fault
                 .target
                 .destination_kinds
                 .iter()
-                .find(|k| !self.destination_kinds.iter().any(|x| x.name == **k))
+                .find(|name| !self.destination_kinds.iter().any(|kind| kind.name == **name))
             {
-                return fault(&at("on.kinds"), &format!("no kind is called {k:?}"));
+                return error(&path("on.kinds"), &format!("there is no kind {name:?}"));
             }
-            if !(0.0..=1.0).contains(&t.target.share) {
-                return fault(&at("on.part"), "is a share: it lies between 0 and 1");
+            if !(0.0..=1.0).contains(&fault.target.share) {
+                return error(&path("on.part"), "must be a share between 0 and 1");
             }
         }
         Ok(())
--- a/crates/emulator/tests/rules.rs
+++ b/crates/emulator/tests/rules.rs
@@ -1,75 +1,85 @@
-//! Each rule is seen to be broken where it is, and by nothing else.
+//! The rule checker finds each broken rule, and the decision module keeps all rules under each kind of fault.
 
 mod helpers;
-use helpers::{Careful, Flaw, office, play, trouble};
-use scalebarrow_emulator::spec::{Effect, EventType, FaultKind, FaultSpec, FaultTarget, LimitBy, World};
+use helpers::{Careful, Flaw, fault, mixed_world, play};
+use scalebarrow_emulator::spec::{
+    EventType, FaultKind, FaultSpec, FaultTarget, LimitBy, RepeatEffect, World,
+};
 use scalebarrow_emulator::{Rule, run};
 
-fn troubled(of: Vec<FaultSpec>) -> World {
-    let mut world = office(30.0);
-    world.faults = of;
+fn world_with_faults(faults: Vec<FaultSpec>) -> World {
+    let mut world = mixed_world(30.0);
+    world.faults = faults;
     world
 }
 
-/// Days that bring each rule into reach.
-fn days() -> Vec<World> {
-    let mut cut = troubled(vec![trouble(FaultKind::Limit, 5.0, 15.0, 0.2, 0.0)]);
-    cut.destination_kinds.iter_mut().for_each(|k| (k.limit, k.tells_wait) = (LimitBy::Span, 1.0));
+/// Worlds in which each rule can be broken.
+fn worlds() -> Vec<World> {
+    let mut cut_limit = world_with_faults(vec![fault(FaultKind::Limit, 5.0, 15.0, 0.2, 0.0)]);
+    cut_limit
+        .destination_kinds
+        .iter_mut()
+        .for_each(|kind| (kind.limit, kind.retry_after_share) = (LimitBy::Span, 1.0));
     vec![
-        troubled(vec![trouble(FaultKind::Down, 5.0, 6.0, 0.0, 0.5)]),
-        troubled(vec![trouble(FaultKind::Errors, 5.0, 10.0, 0.6, 0.5)]),
-        troubled(vec![trouble(FaultKind::Drain, 5.0, 12.0, 0.0, 0.5)]),
-        cut,
+        world_with_faults(vec![fault(FaultKind::Down, 5.0, 6.0, 0.0, 0.5)]),
+        world_with_faults(vec![fault(FaultKind::Errors, 5.0, 10.0, 0.6, 0.5)]),
+        world_with_faults(vec![fault(FaultKind::Drain, 5.0, 12.0, 0.0, 0.5)]),
+        cut_limit,
     ]
 }
 
 #[test]
-fn a_flaw_breaks_its_rule_and_care_breaks_none() {
+fn a_policy_with_a_flaw_breaks_its_rule_and_one_without_breaks_none() {
     let cases = [
         (Flaw::None, None),
-        (Flaw::Forgets, Some(Rule::Lost)),
+        (Flaw::DropsWebhooks, Some(Rule::Lost)),
         (Flaw::AnswersTwice, Some(Rule::Lost)),
         (Flaw::Repeats, Some(Rule::Twice)),
-        (Flaw::Drains, Some(Rule::Drains)),
-        (Flaw::Pushes, Some(Rule::Returns)),
-        (Flaw::Disorders, Some(Rule::Order)),
-        (Flaw::Hurries, Some(Rule::Waits)),
+        (Flaw::UsesDraining, Some(Rule::Drains)),
+        (Flaw::Overloads, Some(Rule::Returns)),
+        (Flaw::IgnoresOrder, Some(Rule::Order)),
+        (Flaw::IgnoresWaits, Some(Rule::Waits)),
     ];
     for (flaw, rule) in cases {
         let mut found = Vec::new();
-        for (i, world) in days().iter().enumerate() {
-            let day = run(world, 4 + i as u64, &Careful::maker(flaw), &mut |_| {}).unwrap();
+        for (index, world) in worlds().iter().enumerate() {
+            let day = run(world, 4 + index as u64, &Careful::factory(flaw), &mut |_| {}).unwrap();
             found.extend(day.violations);
         }
         match rule {
-            None => assert!(found.is_empty(), "care was found to break {:?}", found.first()),
+            None => assert!(found.is_empty(), "the careful policy broke {:?}", found.first()),
             Some(rule) => {
-                assert!(found.iter().any(|b| b.rule == rule), "{flaw:?} did not break {rule:?}: {found:?}")
+                assert!(
+                    found.iter().any(|violation| violation.rule == rule),
+                    "{flaw:?} did not break {rule:?}: {found:?}"
+                )
             }
         }
     }
 }
 
 #[test]
-fn a_day_can_break_by_the_order_of_two_events_at_one_instant() {
-    // One sender, and a grid on which a wait is often told at the instant that a webhook comes.
-    let mut world = troubled(vec![trouble(FaultKind::Limit, 2.0, 25.0, 0.3, 0.0)]);
+fn the_order_of_events_at_one_instant_can_decide_whether_a_rule_is_broken() {
+    // One sender, and a coarse time grid on which a wait is often requested at the instant at which a webhook
+    // arrives.
+    let mut world = world_with_faults(vec![fault(FaultKind::Limit, 2.0, 25.0, 0.3, 0.0)]);
     world.destination_kinds.truncate(1);
-    (world.senders.count, world.destinations.count, world.destination_kinds[0].tells_wait) = (1, 1, 1.0);
+    (world.senders.count, world.destinations.count, world.destination_kinds[0].retry_after_share) =
+        (1, 1, 1.0);
     (world.clients.rate, world.day.tick_us) = (4.0, 50_000);
-    let breaks = |order| {
+    let breaks_rule = |shuffle_seed| {
         let mut world = world.clone();
-        world.day.shuffle_seed = order;
-        let day = run(&world, 11, &Careful::maker(Flaw::HurriesAtOnce), &mut |_| {}).unwrap();
-        day.violations.iter().any(|b| b.rule == Rule::Waits)
+        world.day.shuffle_seed = shuffle_seed;
+        let day = run(&world, 11, &Careful::factory(Flaw::IgnoresWaitsOnArrival), &mut |_| {}).unwrap();
+        day.violations.iter().any(|violation| violation.rule == Rule::Waits)
     };
-    let orders: Vec<bool> = (1..40).map(breaks).collect();
-    assert!(orders.contains(&true) && orders.contains(&false), "{orders:?}");
+    let results: Vec<bool> = (1..40).map(breaks_rule).collect();
+    assert!(results.contains(&true) && results.contains(&false), "{results:?}");
 }
 
 #[test]
-fn the_module_keeps_the_rules_through_each_trouble() {
-    let all = [
+fn the_decision_module_keeps_the_rules_under_each_fault() {
+    let kinds = [
         (FaultKind::Down, 0.0),
         (FaultKind::Silent, 0.0),
         (FaultKind::Hang, 0.0),
@@ -93,25 +103,25 @@
         (FaultKind::Surge, 2.0),
         (FaultKind::Clump, 40.0),
     ];
-    for (what, size) in all {
-        for part in [0.0, 0.4] {
-            let day = play(&troubled(vec![trouble(what, 6.0, 7.0, size, part)]), 7, "module");
-            assert!(day.violations.is_empty(), "{what:?} of {part}: {:?}", day.violations.first());
-            assert!(day.policy_messages.is_empty(), "{what:?}: {}", day.policy_messages[0]);
-            assert!(day.little_holds(), "{what:?}: Little's law");
-            assert!(day.value > 0.4, "{what:?} of {part}: value {}", day.value);
+    for (kind, size) in kinds {
+        for share in [0.0, 0.4] {
+            let day = play(&world_with_faults(vec![fault(kind, 6.0, 7.0, size, share)]), 7, "module");
+            assert!(day.violations.is_empty(), "{kind:?} of {share}: {:?}", day.violations.first());
+            assert!(day.policy_messages.is_empty(), "{kind:?}: {}", day.policy_messages[0]);
+            assert!(day.little_holds(), "{kind:?}: Little's law");
+            assert!(day.value > 0.4, "{kind:?} of {share}: value {}", day.value);
         }
     }
 }
 
 #[test]
-fn lists_that_are_asked_for_senders_without_journal_and_withdrawals_keep_the_rules() {
-    let mut world = troubled(vec![
-        trouble(FaultKind::ListRefused, 4.0, 6.0, 0.0, 0.0),
-        trouble(FaultKind::Drain, 6.0, 9.0, 0.0, 0.4),
-        trouble(FaultKind::Kill, 12.0, 3.0, 0.0, 0.3),
+fn the_decision_module_keeps_the_rules_with_list_watches_without_journal_and_with_withdrawals() {
+    let mut world = world_with_faults(vec![
+        fault(FaultKind::ListRefused, 4.0, 6.0, 0.0, 0.0),
+        fault(FaultKind::Drain, 6.0, 9.0, 0.0, 0.4),
+        fault(FaultKind::Kill, 12.0, 3.0, 0.0, 0.3),
     ]);
-    (world.list.ask, world.senders.journal) = (true, false);
+    (world.endpoint_list.watch_required, world.senders.journal) = (true, false);
     (world.clients.withdraw_share, world.clients.short_ttl_share) = (0.1, 0.1);
     let day = play(&world, 9, "module");
     assert!(day.violations.is_empty(), "{:?}", day.violations.first());
@@ -119,33 +129,31 @@
 }
 
 #[test]
-fn endpoints_that_return_fall_over_when_pushed_by_all_but_not_by_those_that_know_nothing() {
-    // Only sender 0 calls while it is down; the others come with a surge later and have seen nothing.
-    let mut world = troubled(vec![trouble(FaultKind::Down, 5.0, 6.0, 0.0, 0.0)]);
-    world.event_types.iter_mut().for_each(|t| t.effect = Effect::Idempotent);
+fn returning_endpoints_are_overloaded_after_an_outage_but_not_after_a_fault_of_one_sender() {
+    // All destinations are down for all senders: a policy without care for cold destinations overloads them.
+    let mut world = world_with_faults(vec![fault(FaultKind::Down, 5.0, 6.0, 0.0, 0.0)]);
+    world.event_types.iter_mut().for_each(|event_type| event_type.effect = RepeatEffect::Idempotent);
     let day = play(&world, 3, "random");
-    assert!(day.counts.falls > 0 && day.violations.iter().any(|b| b.rule == Rule::Returns));
-    // A trouble between one sender and the endpoints is no outage of theirs: nothing is cold after it.
+    assert!(day.counts.falls > 0 && day.violations.iter().any(|violation| violation.rule == Rule::Returns));
+    // A fault between one sender and the endpoints is no outage: nothing is cold after it.
     world.faults[0].target = FaultTarget { senders: vec![0], ..FaultTarget::default() };
     let day = play(&world, 3, "random");
     assert_eq!(day.counts.falls, 0);
 }
 
-/// A repeat is decided while it is still known and its connection comes up when it is not: in the log it goes out in
-/// time, at its endpoint it would take effect a second time.
+/// A repeat is decided while its token is known, but its connection opens after the token has expired: it
+/// would take effect a second time at its endpoint.
 #[test]
-fn a_repeat_whose_connection_comes_up_too_late_does_not_go_out() {
-    let mut world = office(8.0);
+fn a_repeat_whose_connection_opens_after_its_token_expired_is_not_sent() {
+    let mut world = mixed_world(8.0);
     world.destination_kinds.truncate(1);
-    world.event_types = vec![EventType { known_s: 3.0, ttl_s: 8.0, ..world.event_types[1].clone() }];
-    (world.senders.count, world.destinations.endpoints, world.clients.rate) = (4, (1, 1), 80.0);
-    // A connection takes longer than the margin that repeats leave.
-    world.faults = vec![
-        trouble(FaultKind::Hang, 2.0, 6.0, 0.0, 0.0),
-        trouble(FaultKind::SlowConnect, 2.0, 12.0, 0.4, 0.0),
-    ];
+    world.event_types = vec![EventType { token_lifetime_s: 3.0, ttl_s: 8.0, ..world.event_types[1].clone() }];
+    (world.senders.count, world.destinations.endpoint_count, world.clients.rate) = (4, (1, 1), 80.0);
+    // Opening a connection takes longer than the margin before the token expires.
+    world.faults =
+        vec![fault(FaultKind::Hang, 2.0, 6.0, 0.0, 0.0), fault(FaultKind::SlowConnect, 2.0, 12.0, 0.4, 0.0)];
     let days: Vec<_> = (0..6).map(|seed| play(&world, seed, "module")).collect();
-    let broken: Vec<_> = days.iter().flat_map(|d| &d.violations).collect();
-    assert!(broken.is_empty(), "{broken:?}");
-    assert!(days.iter().map(|d| d.counts.held_back).sum::<u64>() > 0, "no call came that late");
+    let violations: Vec<_> = days.iter().flat_map(|day| &day.violations).collect();
+    assert!(violations.is_empty(), "{violations:?}");
+    assert!(days.iter().map(|day| day.counts.held_back).sum::<u64>() > 0, "no connection opened that late");
 }
