--- a/crates/scale/src/error.rs
+++ b/crates/scale/src/error.rs
@@ -1,15 +1,15 @@
-//! Why a verb ended without success.
+//! The error that ends a verb.
 
 use std::fmt;
 
-/// The ways in which a verb can fail; each has an exit status of its own.
+/// Why a verb failed. The kind decides the exit status.
 #[derive(Debug)]
 pub enum Error {
-    /// The command line or a file handed in cannot be used; the text names file, line and field.
+    /// The command line or an input file cannot be used. The text names the file, the line and the field.
     Input(String),
-    /// A rule of delivery, or a limit that the run has to keep, was broken.
+    /// A delivery rule was broken, or a limit of the run was exceeded.
     Broken(String),
-    /// The run could not be done: a process, a socket or a file failed.
+    /// The run could not be carried out, because a process, a socket or a file failed.
     Failed(String),
 }
 
@@ -21,9 +21,9 @@
 }
 
 impl fmt::Display for Error {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Error::Input(text) | Error::Broken(text) | Error::Failed(text) => f.write_str(text),
+            Error::Input(text) | Error::Broken(text) | Error::Failed(text) => formatter.write_str(text),
         }
     }
 }
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -1,9 +1,9 @@
-//! A fleet on loopback: list service, receivers and senders of the built program, each at an address of its own.
+//! A fleet on loopback: a list service, receivers, and real and hollow senders, each at an address of its own.
 
 use crate::error::Error;
 use crate::guard::Guard;
-use crate::hollow::{HollowSender, HollowSenders, MOST_TOGETHER};
-use crate::process::Sender;
+use crate::hollow::{HollowSender, HollowSenders, MAX_PER_PROCESS};
+use crate::process::SenderProcess;
 use crate::settings::SenderSettings;
 use crate::standins::judge::{Breach, Judge, RuleParameters, RunCounts};
 use crate::standins::list_service::{Endpoint, ListService};
@@ -16,237 +16,305 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
-/// Senders and their addresses at the list service have ports from here on.
-const FIRST_PORT: u16 = 20_000;
-const RECEIVERS_PORT: u16 = 18_081;
-/// Addresses of receivers, which destinations share. A sender that opens a connection for each call to one address alone
-/// would soon be short of ports there, as it never is where destinations have machines of their own.
-const RECEIVERS: u8 = 200;
-/// Attempts for one webhook: no run comes near.
-const ATTEMPTS: u32 = 1000;
-/// Connections of a sender; fewer where hundreds of senders meet stand-ins with one process's descriptors.
-const SOCKETS: usize = 256;
-const SOCKETS_AMONG_MANY: usize = 128;
-const SOCKETS_HOLLOW: usize = 64;
-/// Between two looks at something that is waited for.
-const LOOK: Duration = Duration::from_millis(10);
-
-/// The parties of a run, by the last part of their address.
+/// The port of the first sender, and of its address at the list service.
+const FIRST_SENDER_PORT: u16 = 20_000;
+/// The port of all receivers.
+const RECEIVER_PORT: u16 = 18_081;
+/// Addresses of receivers, which the destinations share. With a single address, a sender that opens a connection for each
+/// call would soon run out of local ports; it does not where destinations have machines of their own.
+const RECEIVER_COUNT: u8 = 200;
+/// The most attempts for one webhook, more than any run needs.
+const MAX_ATTEMPTS: u32 = 1000;
+/// Sockets that a sender may have open.
+const MAX_SOCKETS: usize = 256;
+/// The same for real senders beside hollow ones. Fewer, as hundreds of senders then connect to stand-ins that have the
+/// descriptors of a single process.
+const MAX_SOCKETS_BESIDE_HOLLOW: usize = 128;
+/// The same for hollow senders.
+const MAX_SOCKETS_HOLLOW: usize = 64;
+/// How often a condition is checked that is waited for.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+
+/// The parties of a run, with the last byte of their IP addresses.
 #[derive(Clone, Copy)]
 pub(crate) enum Party {
     Sender = 1,
-    Discovery = 2,
-    /// The first of all receivers.
+    ListService = 2,
+    /// The first receiver; the others have the addresses after it.
     Receivers = 3,
 }
 
 /// Addresses on loopback that no other run uses at the same time.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Addresses {
-    process: u8,
-    fleet: u8,
+    /// The second byte, by this process's id.
+    process_byte: u8,
+    /// The third byte, by this process's id and the number of the fleet in it.
+    fleet_byte: u8,
 }
 
 impl Addresses {
+    /// Addresses for a new fleet.
     pub(crate) fn new() -> Self {
-        static FLEETS: AtomicU16 = AtomicU16::new(0);
-        let (process, fleet) = (std::process::id(), FLEETS.fetch_add(1, Ordering::Relaxed));
-        let fleet = (process / 50 + u32::from(fleet)) % 250;
-        Addresses { process: 200 + (process % 50) as u8, fleet: fleet as u8 }
+        static FLEET_COUNT: AtomicU16 = AtomicU16::new(0);
+        let (process_id, fleet) = (std::process::id(), FLEET_COUNT.fetch_add(1, Ordering::Relaxed));
+        let fleet = (process_id / 50 + u32::from(fleet)) % 250;
+        Addresses { process_byte: 200 + (process_id % 50) as u8, fleet_byte: fleet as u8 }
     }
 
-    pub(crate) fn of(self, party: Party, port: u16) -> SocketAddr {
-        SocketAddr::from(([127, self.process, self.fleet, party as u8], port))
+    /// The address of a party at a port.
+    pub(crate) fn address(self, party: Party, port: u16) -> SocketAddr {
+        SocketAddr::from(([127, self.process_byte, self.fleet_byte, party as u8], port))
     }
 
+    /// The addresses of all receivers.
     fn receivers(self) -> Vec<SocketAddr> {
-        let first = Party::Receivers as u8;
-        let at = |own| SocketAddr::from(([127, self.process, self.fleet, first + own], RECEIVERS_PORT));
-        (0..RECEIVERS).map(at).collect()
+        let first_byte = Party::Receivers as u8;
+        let address = |index| {
+            SocketAddr::from(([127, self.process_byte, self.fleet_byte, first_byte + index], RECEIVER_PORT))
+        };
+        (0..RECEIVER_COUNT).map(address).collect()
     }
 }
 
-/// What a fleet is made of.
+/// The size and the settings of a fleet.
 #[derive(Debug, Clone)]
-pub struct Plan {
-    /// The built program.
+pub struct FleetPlan {
+    /// The built sender program.
     pub program: PathBuf,
-    /// Processes of it.
-    pub senders: usize,
-    /// Senders beside them that share processes of the run's own.
-    pub hollow: usize,
-    pub destinations: u32,
-    /// Calls a second that the list tells for each destination.
-    pub rate: f64,
-    /// Whether the list's rates count.
+    /// Real senders, each a process of the program.
+    pub sender_count: usize,
+    /// Hollow senders, which share processes.
+    pub hollow_count: usize,
+    /// Destinations in the endpoint list, with one endpoint each.
+    pub destination_count: u32,
+    /// The rate that the list names for each destination.
+    pub calls_per_sec: f64,
+    /// Whether senders heed the rates in the list.
     pub rates_listed: bool,
-    pub asks: bool,
+    /// Whether senders request the endpoint list; otherwise an agent beside each is sent it.
+    pub pulls_list: bool,
+    /// How receivers answer.
     pub behaviour: Behaviour,
-    /// Webhooks that one sender may hold.
-    pub holds: usize,
+    /// Webhooks that one sender may hold at once.
+    pub max_pending: usize,
+    /// Calls that one sender may have in flight at once.
     pub slots: usize,
-    /// Connections of a sender.
-    pub sockets: usize,
-    /// What the folder of one sender may hold.
-    pub disk_mb: f64,
+    /// Sockets that one sender may have open.
+    pub max_sockets: usize,
+    /// The most that the state folder of one sender may contain.
+    pub disk_limit_mb: f64,
+    /// The TTL of webhooks whose client names none.
     pub ttl: Duration,
 }
 
-impl Plan {
-    /// One sender, whose destinations take whatever comes.
-    pub fn one(program: PathBuf, destinations: u32, holds: usize) -> Plan {
-        Plan {
+impl FleetPlan {
+    /// One real sender; all destinations refuse every call.
+    pub fn single_sender(program: PathBuf, destination_count: u32, max_pending: usize) -> FleetPlan {
+        FleetPlan {
             program,
-            senders: 1,
-            hollow: 0,
-            destinations,
-            rate: 2000.0,
+            sender_count: 1,
+            hollow_count: 0,
+            destination_count,
+            calls_per_sec: 2000.0,
             rates_listed: true,
-            asks: false,
+            pulls_list: false,
             behaviour: Behaviour::Refuse,
-            holds,
+            max_pending,
             slots: 64,
-            sockets: SOCKETS,
-            disk_mb: 50.0 + holds as f64 * 2e-3,
+            max_sockets: MAX_SOCKETS,
+            disk_limit_mb: 50.0 + max_pending as f64 * 2e-3,
             ttl: Duration::from_secs(3600),
         }
     }
 
-    fn settings(&self, me: u16, listen: SocketAddr, discovery: SocketAddr, sockets: usize) -> SenderSettings {
+    fn sender_settings(
+        &self, number: u16, listen_address: SocketAddr, list_address: SocketAddr, max_sockets: usize,
+    ) -> SenderSettings {
         SenderSettings {
-            me,
-            instances: self.senders + self.hollow,
-            listen,
-            discovery,
-            holds: self.holds,
+            number,
+            sender_count: self.sender_count + self.hollow_count,
+            listen_address,
+            list_address,
+            max_pending: self.max_pending,
             slots: self.slots,
-            sockets,
-            disk_mb: self.disk_mb,
-            ttl: self.ttl.as_secs_f64(),
-            attempts: ATTEMPTS,
+            max_sockets,
+            disk_limit_mb: self.disk_limit_mb,
+            ttl_secs: self.ttl.as_secs_f64(),
+            max_attempts: MAX_ATTEMPTS,
             rates_listed: self.rates_listed,
-            asks: self.asks,
+            pulls_list: self.pulls_list,
         }
     }
 }
 
-/// A running fleet. Its processes end when it is dropped.
+/// A fleet with its stand-ins. Its processes end when it is dropped.
 pub struct Fleet {
-    pub record: SharedJudge,
-    pub list: Server<ListService>,
+    /// The judge that records what the stand-ins see.
+    pub judge: SharedJudge,
+    /// The platform's list service.
+    pub list_service: Server<ListService>,
+    /// The receivers of all destinations.
     pub receivers: Server<Receivers>,
-    pub senders: Vec<Sender>,
+    /// The real senders, by their numbers.
+    pub senders: Vec<SenderProcess>,
+    /// Limits what the run uses.
     pub guard: Arc<Guard>,
-    pub hollow: Vec<HollowSenders>,
-    /// Where each sender listens: the processes of the program first.
-    pub listen: Vec<SocketAddr>,
+    /// The hollow senders, one element for each process.
+    pub hollow_senders: Vec<HollowSenders>,
+    /// Where each sender listens for clients, by its number; real senders have the lowest numbers.
+    pub listen_addresses: Vec<SocketAddr>,
+    /// The endpoint list that the senders start with.
     pub endpoints: Vec<Endpoint>,
-    pub terms: RuleParameters,
+    /// The limits and grace periods of the delivery rules.
+    pub rule_parameters: RuleParameters,
 }
 
 impl Fleet {
     /// Starts the stand-ins and prepares the senders, which are not started yet.
-    pub fn prepare(plan: &Plan, guard: &Arc<Guard>) -> Result<Fleet, Error> {
-        let (addresses, terms) = (Addresses::new(), RuleParameters::default());
-        let record = SharedJudge::new(Judge::new(terms.clone()));
-        let dials = addresses.receivers();
-        let receivers = Server::start(&dials, Receivers::new(record.clone(), plan.behaviour))?;
-        let endpoint = |dest: u32| Endpoint::new(dest, dials[dest as usize % dials.len()], plan.rate);
-        let endpoints: Vec<Endpoint> = (0..plan.destinations).map(endpoint).collect();
-        let count = plan.senders + plan.hollow;
-        let places =
+    pub fn prepare(plan: &FleetPlan, guard: &Arc<Guard>) -> Result<Fleet, Error> {
+        let (addresses, rule_parameters) = (Addresses::new(), RuleParameters::default());
+        let judge = SharedJudge::new(Judge::new(rule_parameters.clone()));
+        let receiver_addresses = addresses.receivers();
+        let receivers = Server::start(&receiver_addresses, Receivers::new(judge.clone(), plan.behaviour))?;
+        let endpoint = |destination: u32| {
+            Endpoint::new(
+                destination,
+                receiver_addresses[destination as usize % receiver_addresses.len()],
+                plan.calls_per_sec,
+            )
+        };
+        let endpoints: Vec<Endpoint> = (0..plan.destination_count).map(endpoint).collect();
+        let count = plan.sender_count + plan.hollow_count;
+        let sender_count =
             u16::try_from(count).map_err(|_| Error::Input(format!("{count} senders are too many")))?;
-        let discovery = |me: u16| addresses.of(Party::Discovery, FIRST_PORT + me);
-        let known: HashMap<SocketAddr, u16> = (0..places).map(|me| (discovery(me), me)).collect();
-        let asked: Vec<SocketAddr> = (0..places).map(discovery).collect();
-        let list = Server::start(&asked, ListService::new(record.clone(), known, endpoints.clone()))?;
-        let listen: Vec<SocketAddr> =
-            (0..places).map(|me| addresses.of(Party::Sender, FIRST_PORT + me)).collect();
-        let sockets = if plan.hollow == 0 { plan.sockets } else { SOCKETS_AMONG_MANY };
-        let config = |me: u16, sockets: usize| {
-            plan.settings(me, listen[usize::from(me)], discovery(me), sockets).encode(&terms, &endpoints)
+        let list_address = |number: u16| addresses.address(Party::ListService, FIRST_SENDER_PORT + number);
+        let senders_by_address: HashMap<SocketAddr, u16> =
+            (0..sender_count).map(|number| (list_address(number), number)).collect();
+        let list_addresses: Vec<SocketAddr> = (0..sender_count).map(list_address).collect();
+        let list_service = Server::start(
+            &list_addresses,
+            ListService::new(judge.clone(), senders_by_address, endpoints.clone()),
+        )?;
+        let listen_addresses: Vec<SocketAddr> = (0..sender_count)
+            .map(|number| addresses.address(Party::Sender, FIRST_SENDER_PORT + number))
+            .collect();
+        let max_sockets = if plan.hollow_count == 0 { plan.max_sockets } else { MAX_SOCKETS_BESIDE_HOLLOW };
+        let config = |number: u16, max_sockets: usize| {
+            plan.sender_settings(
+                number,
+                listen_addresses[usize::from(number)],
+                list_address(number),
+                max_sockets,
+            )
+            .encode(&rule_parameters, &endpoints)
         };
-        let (mut senders, mut alike) = (Vec::new(), Vec::new());
-        for me in 0..places {
-            let at = listen[usize::from(me)];
-            if usize::from(me) < plan.senders {
-                let name = format!("{}-{me}", addresses.fleet);
-                senders.push(Sender::prepare(&plan.program, &name, at, &config(me, sockets), guard)?);
+        let (mut senders, mut all_hollow) = (Vec::new(), Vec::new());
+        for number in 0..sender_count {
+            let listen_address = listen_addresses[usize::from(number)];
+            if usize::from(number) < plan.sender_count {
+                let name = format!("{}-{number}", addresses.fleet_byte);
+                senders.push(SenderProcess::prepare(
+                    &plan.program,
+                    &name,
+                    listen_address,
+                    &config(number, max_sockets),
+                    guard,
+                )?);
             } else {
-                alike.push(HollowSender { me, listen: at, config: config(me, SOCKETS_HOLLOW) });
+                all_hollow.push(HollowSender {
+                    number,
+                    listen_address,
+                    config: config(number, MAX_SOCKETS_HOLLOW),
+                });
             }
         }
-        let mut hollow = Vec::new();
-        for (number, group) in alike.chunks(MOST_TOGETHER).enumerate() {
-            let name = format!("{}-hollow-{number}", addresses.fleet);
-            hollow.push(HollowSenders::prepare(&name, group, guard)?);
+        let mut hollow_senders = Vec::new();
+        for (index, group) in all_hollow.chunks(MAX_PER_PROCESS).enumerate() {
+            let name = format!("{}-hollow-{index}", addresses.fleet_byte);
+            hollow_senders.push(HollowSenders::prepare(&name, group, guard)?);
         }
-        Ok(Fleet { record, list, receivers, senders, guard: guard.clone(), hollow, listen, endpoints, terms })
+        Ok(Fleet {
+            judge,
+            list_service,
+            receivers,
+            senders,
+            guard: guard.clone(),
+            hollow_senders,
+            listen_addresses,
+            endpoints,
+            rule_parameters,
+        })
     }
 
-    /// The same, with all senders started and ready, side by side. Returns how long each took.
-    pub fn start(plan: &Plan, guard: &Arc<Guard>) -> Result<(Fleet, Vec<Duration>), Error> {
+    /// Prepares a fleet and starts all its senders at the same time. Returns how long each real sender took to be ready.
+    pub fn start(plan: &FleetPlan, guard: &Arc<Guard>) -> Result<(Fleet, Vec<Duration>), Error> {
         let mut fleet = Fleet::prepare(plan, guard)?;
-        let mut began = Vec::new();
+        let mut launch_times = Vec::new();
         for sender in &mut fleet.senders {
-            began.push(Instant::now());
+            launch_times.push(Instant::now());
             sender.launch()?;
         }
-        fleet.hollow.iter_mut().try_for_each(HollowSenders::launch)?;
-        let mut took = Vec::new();
-        for (sender, began) in fleet.senders.iter_mut().zip(began) {
-            took.push(sender.wait_ready(began)?);
+        fleet.hollow_senders.iter_mut().try_for_each(HollowSenders::launch)?;
+        let mut ready_after = Vec::new();
+        for (sender, launched_at) in fleet.senders.iter_mut().zip(launch_times) {
+            ready_after.push(sender.wait_until_ready(launched_at)?);
         }
-        fleet.hollow.iter_mut().try_for_each(HollowSenders::wait_ready)?;
-        Ok((fleet, took))
+        fleet.hollow_senders.iter_mut().try_for_each(HollowSenders::wait_until_ready)?;
+        Ok((fleet, ready_after))
     }
 
-    /// Asks or tells the receivers something.
-    pub fn receivers<T: Send + 'static>(
+    /// Runs a task on the receivers, in their thread, and returns its result.
+    pub fn with_receivers<T: Send + 'static>(
         &self, task: impl FnOnce(&mut Receivers, &mut ServerActions) -> T + Send + 'static,
     ) -> Result<T, Error> {
-        self.receivers.with_service(task).ok_or_else(|| Error::Failed("the receivers have ended".into()))
+        self.receivers.with_service(task).ok_or_else(|| Error::Failed("the receivers have stopped".into()))
     }
 
-    /// Asks or tells the list service something.
-    pub fn list<T: Send + 'static>(
+    /// Runs a task on the list service, in its thread, and returns its result.
+    pub fn with_list_service<T: Send + 'static>(
         &self, task: impl FnOnce(&mut ListService, &mut ServerActions) -> T + Send + 'static,
     ) -> Result<T, Error> {
-        self.list.with_service(task).ok_or_else(|| Error::Failed("the list service has ended".into()))
+        self.list_service
+            .with_service(task)
+            .ok_or_else(|| Error::Failed("the list service has stopped".into()))
     }
 
-    /// Waits until something holds; true where it did within the time.
-    pub fn wait(
-        &self, within: Duration, holds: impl Fn(&Fleet) -> Result<bool, Error>,
+    /// Waits until a condition holds; false if it does not within the timeout.
+    pub fn wait_until(
+        &self, timeout: Duration, condition: impl Fn(&Fleet) -> Result<bool, Error>,
     ) -> Result<bool, Error> {
-        let began = Instant::now();
-        while began.elapsed() < within {
+        let began_at = Instant::now();
+        while began_at.elapsed() < timeout {
             self.guard.check()?;
-            if holds(self)? {
+            if condition(self)? {
                 return Ok(true);
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(false)
     }
 
-    /// Webhooks that were taken on and are not over.
-    pub fn open(&self) -> u64 {
-        self.record.with(|judge, _| judge.pending_count())
+    /// Webhooks that were accepted and have no final answer.
+    pub fn pending_count(&self) -> u64 {
+        self.judge.with(|judge, _| judge.pending_count())
     }
 
-    /// What the judge says at the end.
+    /// Ends the judgement. Returns the judge's counts and the breaches that it kept.
     pub fn verdict(&self) -> (RunCounts, Vec<Breach>) {
-        self.record.with(|judge, now| judge.finish(now))
+        self.judge.with(|judge, now| judge.finish(now))
     }
 }
 
-/// The verdict as an error, where a rule is broken.
-pub fn judged((counts, breaches): &(RunCounts, Vec<Breach>)) -> Result<(), Error> {
+/// Returns an error that describes the first breaches if a rule was broken.
+pub fn check_verdict((counts, breaches): &(RunCounts, Vec<Breach>)) -> Result<(), Error> {
     if counts.breaches == 0 {
         return Ok(());
     }
-    let told: Vec<String> =
-        breaches.iter().take(10).map(|b| format!("{:.3} s {:?}: {}", b.at_secs, b.rule, b.text)).collect();
-    Err(Error::Broken(format!("rules broken {} times:\n{}", counts.breaches, told.join("\n"))))
+    let descriptions: Vec<String> = breaches
+        .iter()
+        .take(10)
+        .map(|breach| format!("{:.3} s {:?}: {}", breach.at_secs, breach.rule, breach.text))
+        .collect();
+    Err(Error::Broken(format!("rules broken {} times:\n{}", counts.breaches, descriptions.join("\n"))))
 }
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -6,44 +6,44 @@
 use scalebarrow_scale::{capacity, hollow, interrupt, soak};
 use std::process::ExitCode;
 
-/// Measures what the built sender costs at scale, against stand-ins for list service, receivers and clients that run
-/// in this process, on loopback. No run uses more than 12 GiB or 200 processes. Ctrl-C ends a run and keeps what was
-/// measured.
+/// Measures and tests the built sender at scale, against stand-ins for the list service, the receivers and the clients
+/// that run in this process, on loopback. A run uses at most 12 GiB and 200 processes. Ctrl-C ends a run and keeps what
+/// was measured.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 enum Verb {
-    /// Measure resources at several counts, fit a line through each, write docs/capacity/slopes.json
+    /// Measure resources at several counts, fit a line to each, and write the lines to docs/capacity/slopes.json
     #[bpaf(command)]
     Slope(#[bpaf(external(slope::options))] slope::Options),
-    /// Kill senders, or tell them to end, under load and with a backlog, and start them again
+    /// Kill or terminate senders under load and with a backlog, and start them again
     #[bpaf(command)]
     Restarts(#[bpaf(external(restarts::options))] restarts::Options),
-    /// Change the list an hour's worth of times and in a burst, and time until every sender has it
+    /// Change the endpoint list one after another and in a burst, and measure how long each sender takes to apply a change
     #[bpaf(command)]
     Changes(#[bpaf(external(changes::options))] changes::Options),
-    /// Play a day of load with a part of the destinations down
+    /// Run a load profile in which a part of the destinations has an outage
     #[bpaf(command)]
     Day(#[bpaf(external(day::options))] day::Options),
-    /// Play each verb in a small form, within a minute; for CI
+    /// Run each verb at a small size, within a minute; for CI
     #[bpaf(command)]
     Small(#[bpaf(external(small::options))] small::Options),
-    /// Play senders under faults drawn from seeds; receivers' and clients' records are judged
+    /// Run senders under faults that seeds determine, and check what receivers and clients saw
     #[bpaf(command)]
     Soak(#[bpaf(external(soak::options))] soak::Options),
-    /// Run hollow senders; other verbs start this by themselves
+    /// Run hollow senders; other verbs start this
     #[bpaf(command, hide)]
     Hollow(#[bpaf(external(hollow::options))] hollow::Options),
-    /// Make the table of docs/CAPACITY.md from docs/capacity/slopes.json
+    /// Generate the tables of docs/CAPACITY.md from docs/capacity/slopes.json
     #[bpaf(command)]
     Capacity(#[bpaf(external(capacity::options))] capacity::Options),
 }
 
 fn run(verb: &Verb) -> Result<(), Error> {
-    // Its senders take the signals themselves.
+    // Hollow senders handle the signals themselves.
     if let Verb::Hollow(options) = verb {
         return hollow::run(options);
     }
-    let stop = interrupt::on_signals().map_err(|e| Error::Failed(e.to_string()))?;
+    let stop = interrupt::stop_on_signals().map_err(|error| Error::Failed(error.to_string()))?;
     match verb {
         Verb::Slope(options) => slope::run(options, &stop),
         Verb::Restarts(options) => restarts::run(options, &stop),
--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -1,5 +1,5 @@
-//! Processes of the built program: started on a folder of their own, asked whether they are ready, signalled by their
-//! ids, and measured from /proc.
+//! Sender processes: each is started on a folder of its own, checked for readiness, signalled by its process id, and
+//! measured from /proc.
 
 use crate::error::Error;
 use crate::guard::Guard;
@@ -14,101 +14,115 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The platform takes a sender that is not ready by then for one that did not start.
-pub const START_LIMIT: Duration = Duration::from_secs(30);
-/// Between two looks whether a sender is ready.
-const READY_LOOK: Duration = Duration::from_millis(2);
-/// Memory that a sender takes at once, for the guard.
-const FRESH_MEMORY: u64 = 8 << 20;
+/// The platform considers a start failed if the sender is not ready after this time.
+pub const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// How often it is checked whether a sender is ready.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Memory that a sender uses right after its start, which the guard has to admit.
+const START_MEMORY_BYTES: u64 = 8 << 20;
 
-/// Memory of a process, in bytes.
+/// The memory of a process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Memory {
-    pub resident: u64,
-    pub peak: u64,
+    /// Resident memory now.
+    pub resident_bytes: u64,
+    /// The most resident memory so far.
+    pub peak_bytes: u64,
 }
 
-/// The memory of a process; nothing where there is none of that id.
-pub fn memory(id: u32) -> Option<Memory> {
-    let status = fs::read_to_string(format!("/proc/{id}/status")).ok()?;
+/// The memory of a process; `None` if there is no process with this id.
+pub fn process_memory(process_id: u32) -> Option<Memory> {
+    let status = fs::read_to_string(format!("/proc/{process_id}/status")).ok()?;
     let field = |name: &str| {
-        let value = status.lines().find_map(|l| l.strip_prefix(name))?;
+        let value = status.lines().find_map(|line| line.strip_prefix(name))?;
         value.trim().trim_end_matches(" kB").parse::<u64>().ok().map(|kib| kib * 1024)
     };
-    Some(Memory { resident: field("VmRSS:")?, peak: field("VmHWM:")? })
+    Some(Memory { resident_bytes: field("VmRSS:")?, peak_bytes: field("VmHWM:")? })
 }
 
-/// Seconds that a process has run on processors, and has waited for one while it could have run.
+/// The processor time of a process, over all its threads.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct ProcessorTime {
-    pub ran: f64,
-    pub waited: f64,
+pub struct CpuTime {
+    /// Seconds that it ran on a processor.
+    pub running_secs: f64,
+    /// Seconds that it could have run but waited for a processor.
+    pub waiting_secs: f64,
 }
 
-/// The processor time of a process with all its threads; nothing where there is none of that id.
-pub fn processor_time(id: u32) -> Option<ProcessorTime> {
+/// The processor time of a process; `None` if there is no process with this id.
+pub fn process_cpu_time(process_id: u32) -> Option<CpuTime> {
     let mut nanos = [0, 0];
-    for task in fs::read_dir(format!("/proc/{id}/task")).ok()?.flatten() {
+    for task in fs::read_dir(format!("/proc/{process_id}/task")).ok()?.flatten() {
         let text = fs::read_to_string(task.path().join("schedstat")).ok()?;
         for (sum, field) in nanos.iter_mut().zip(text.split(' ')) {
             *sum += field.parse::<u64>().ok()?;
         }
     }
-    let [ran, waited] = nanos.map(|nanos| nanos as f64 / 1e9);
-    Some(ProcessorTime { ran, waited })
+    let [running_secs, waiting_secs] = nanos.map(|nanos| nanos as f64 / 1e9);
+    Some(CpuTime { running_secs, waiting_secs })
 }
 
-/// A folder that is removed with all it holds when this is dropped.
-pub struct Folder(PathBuf);
+/// A temporary folder, which is removed with its contents when this is dropped.
+pub struct TempFolder(PathBuf);
 
-impl Folder {
-    /// A new one under the system's folder for such.
-    pub fn new(name: &str) -> Result<Folder, Error> {
+impl TempFolder {
+    /// Creates a folder with an empty subfolder `state` for a sender's state.
+    pub fn new(name: &str) -> Result<TempFolder, Error> {
         let path = std::env::temp_dir().join(format!("scalebarrow-scale-{}-{name}", std::process::id()));
         fs::create_dir_all(path.join("state"))
-            .map_err(|e| Error::Failed(format!("{}: {e}", path.display())))?;
-        Ok(Folder(path))
+            .map_err(|error| Error::Failed(format!("{}: {error}", path.display())))?;
+        Ok(TempFolder(path))
     }
 
+    /// The path of the folder.
     pub fn path(&self) -> &Path {
         &self.0
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-/// One sender: a process of the built program, or the folder that one left behind.
-pub struct Sender {
-    pub listen: SocketAddr,
+/// One sender with its folder, which stays when its process ends, so that the next process finds its state.
+pub struct SenderProcess {
+    /// Where it listens for clients.
+    pub listen_address: SocketAddr,
     program: PathBuf,
-    folder: Folder,
+    folder: TempFolder,
     guard: Arc<Guard>,
     child: Option<Child>,
     log_level: &'static str,
     environment: Vec<(&'static str, PathBuf)>,
 }
 
-impl Sender {
-    /// A sender with its configuration written, not yet started.
+impl SenderProcess {
+    /// Creates the folder of a sender and writes its configuration. The process is not started yet.
     pub fn prepare(
-        program: &Path, name: &str, listen: SocketAddr, config: &str, guard: &Arc<Guard>,
-    ) -> Result<Sender, Error> {
-        let folder = Folder::new(name)?;
+        program: &Path, name: &str, listen_address: SocketAddr, config: &str, guard: &Arc<Guard>,
+    ) -> Result<SenderProcess, Error> {
+        let folder = TempFolder::new(name)?;
         fs::write(folder.path().join("config.json"), config)?;
         let (program, guard, environment) = (program.to_owned(), guard.clone(), Vec::new());
-        Ok(Sender { listen, program, folder, guard, child: None, log_level: "warn", environment })
+        Ok(SenderProcess {
+            listen_address,
+            program,
+            folder,
+            guard,
+            child: None,
+            log_level: "warn",
+            environment,
+        })
     }
 
-    /// Logs everything from the next start on.
-    pub fn log_everything(&mut self) {
+    /// Lets processes log at debug level, from the next start on.
+    pub fn enable_debug_log(&mut self) {
         self.log_level = "debug";
     }
 
-    /// Loads the fault shim into the process from the next start on. Returns its control.
+    /// Loads the fault shim into processes, from the next start on. Returns the file that controls it.
     pub fn load_shim(&mut self) -> Result<ControlFile, Error> {
         let control = ControlFile::create(&self.folder.path().join("control"))?;
         let shim = find_shim(&std::path::absolute(&self.program)?)?;
@@ -116,156 +130,160 @@
         Ok(control)
     }
 
-    /// Replaces the configuration; the process reads it at its start or with SIGHUP.
+    /// Replaces the configuration, which the process reads at its start and at SIGHUP.
     pub fn write_config(&self, config: &str) -> Result<(), Error> {
-        let (new, path) = (self.folder.path().join("config.new"), self.folder.path().join("config.json"));
-        fs::write(&new, config)?;
-        Ok(fs::rename(new, path)?)
+        let (new_path, path) =
+            (self.folder.path().join("config.new"), self.folder.path().join("config.json"));
+        fs::write(&new_path, config)?;
+        Ok(fs::rename(new_path, path)?)
     }
 
-    /// Where it logs.
+    /// The path of its log file.
     pub fn log_path(&self) -> PathBuf {
         self.folder.path().join("log")
     }
 
-    /// Lines of its log that hold a text.
-    pub fn logged(&self, text: &str) -> Vec<String> {
+    /// The lines of its log that contain a text.
+    pub fn log_lines_with(&self, text: &str) -> Vec<String> {
         let log = fs::read(self.folder.path().join("log")).unwrap_or_default();
         let log = String::from_utf8_lossy(&log);
         log.lines().filter(|line| line.contains(text)).map(str::to_owned).collect()
     }
 
-    /// Starts the process.
+    /// Starts the process, and does not wait until it is ready.
     pub fn launch(&mut self) -> Result<(), Error> {
-        self.guard.admit(FRESH_MEMORY)?;
+        self.guard.admit(START_MEMORY_BYTES)?;
         let log = File::options().create(true).append(true).open(self.folder.path().join("log"))?;
         let child = Command::new(&self.program)
             .args(["serve", "--log", self.log_level])
             .envs(self.environment.iter().map(|(name, value)| (*name, value)))
             .env("LB_CONFIG", self.folder.path().join("config.json"))
-            .env("LB_STATE", self.state())
+            .env("LB_STATE", self.state_path())
             .stderr(log)
             .spawn()
-            .map_err(|e| Error::Input(format!("--program {}: {e}", self.program.display())))?;
-        self.guard.add(child.id());
+            .map_err(|error| Error::Input(format!("--program {}: {error}", self.program.display())))?;
+        self.guard.add_child(child.id());
         self.child = Some(child);
         Ok(())
     }
 
     /// Starts the process and waits until it is ready. Returns how long that took.
     pub fn start(&mut self) -> Result<Duration, Error> {
-        let began = Instant::now();
+        let began_at = Instant::now();
         self.launch()?;
-        self.wait_ready(began)
+        self.wait_until_ready(began_at)
     }
 
-    /// Waits until a process that was launched is ready; it was launched at `began`.
-    pub fn wait_ready(&mut self, began: Instant) -> Result<Duration, Error> {
+    /// Waits until the process that was launched at `began_at` is ready. Returns how long that took.
+    pub fn wait_until_ready(&mut self, began_at: Instant) -> Result<Duration, Error> {
         loop {
-            if is_ready(self.listen) {
-                return Ok(began.elapsed());
+            if is_ready(self.listen_address) {
+                return Ok(began_at.elapsed());
             }
             self.guard.check()?;
-            let ended = self.child.as_mut().and_then(|child| child.try_wait().ok().flatten());
-            if let Some(status) = ended {
+            let exit_status = self.child.as_mut().and_then(|child| child.try_wait().ok().flatten());
+            if let Some(status) = exit_status {
                 return Err(Error::Failed(format!(
-                    "a sender ended before it was ready, {status}: {}",
-                    self.log()
+                    "a sender exited before it was ready, {status}: {}",
+                    self.log_tail()
                 )));
             }
-            if began.elapsed() > START_LIMIT {
-                return Err(Error::Broken(format!("a sender was not ready after {START_LIMIT:?}")));
+            if began_at.elapsed() > START_TIMEOUT {
+                return Err(Error::Broken(format!("a sender was not ready after {START_TIMEOUT:?}")));
             }
-            std::thread::sleep(READY_LOOK);
+            std::thread::sleep(READY_POLL_INTERVAL);
         }
     }
 
-    /// Signals the process by its id.
-    pub fn signal(&self, signal: Signal) -> Result<(), Error> {
+    /// Sends a signal to the process, if there is one.
+    pub fn send_signal(&self, signal: Signal) -> Result<(), Error> {
         let Some(child) = &self.child else { return Ok(()) };
-        kill(Pid::from_raw(child.id().cast_signed()), signal).map_err(|e| Error::Failed(e.to_string()))
+        kill(Pid::from_raw(child.id().cast_signed()), signal)
+            .map_err(|error| Error::Failed(error.to_string()))
     }
 
-    /// Signals the process and waits for its end. Returns how long that took.
-    pub fn end(&mut self, signal: Signal) -> Result<Duration, Error> {
-        let began = Instant::now();
-        // An id that was waited for may be another process's by now.
-        if self.runs() {
-            self.signal(signal)?;
+    /// Sends a signal to the process and waits until it has ended. Returns how long that took.
+    pub fn end_with(&mut self, signal: Signal) -> Result<Duration, Error> {
+        let began_at = Instant::now();
+        // The id of a process that was waited for may already belong to another process.
+        if self.is_running() {
+            self.send_signal(signal)?;
         }
         if let Some(mut child) = self.child.take() {
             child.wait()?;
-            self.guard.remove(child.id());
+            self.guard.remove_child(child.id());
         }
-        Ok(began.elapsed())
+        Ok(began_at.elapsed())
     }
 
-    /// The process has not ended.
-    pub fn runs(&mut self) -> bool {
+    /// Whether there is a process that has not ended.
+    pub fn is_running(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// The process's id, while it runs.
-    pub fn id(&self) -> Option<u32> {
+    /// The id of the process, if there is one.
+    pub fn process_id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
+    /// The memory of the process; zero if there is none.
     pub fn memory(&self) -> Memory {
-        self.id().and_then(memory).unwrap_or_default()
+        self.process_id().and_then(process_memory).unwrap_or_default()
     }
 
     /// Seconds that the process has run on a processor.
-    pub fn processor_time(&self) -> f64 {
-        self.processor().ran
+    pub fn cpu_secs(&self) -> f64 {
+        self.cpu_time().running_secs
     }
 
-    pub fn processor(&self) -> ProcessorTime {
-        self.id().and_then(processor_time).unwrap_or_default()
+    /// The processor time of the process; zero if there is none.
+    pub fn cpu_time(&self) -> CpuTime {
+        self.process_id().and_then(process_cpu_time).unwrap_or_default()
     }
 
-    /// Bytes that its lasting folder holds.
-    pub fn disk(&self) -> u64 {
-        folder_size(&self.state())
+    /// The size of its state folder.
+    pub fn state_bytes(&self) -> u64 {
+        folder_bytes(&self.state_path())
     }
 
-    /// The end of what it logged.
-    pub fn log(&self) -> String {
+    /// The last three lines of its log.
+    pub fn log_tail(&self) -> String {
         let text = fs::read_to_string(self.folder.path().join("log")).unwrap_or_default();
         let lines: Vec<&str> = text.lines().rev().take(3).collect();
         lines.into_iter().rev().collect::<Vec<_>>().join(" | ")
     }
 
-    fn state(&self) -> PathBuf {
+    fn state_path(&self) -> PathBuf {
         self.folder.path().join("state")
     }
 }
 
-impl Drop for Sender {
+impl Drop for SenderProcess {
     fn drop(&mut self) {
-        let _ = self.end(Signal::SIGKILL);
+        let _ = self.end_with(Signal::SIGKILL);
     }
 }
 
-/// Bytes of all files under a folder. One that goes meanwhile counts as nothing.
-fn folder_size(path: &Path) -> u64 {
+/// The size of all files under a folder. A file that is removed meanwhile counts as empty.
+fn folder_bytes(path: &Path) -> u64 {
     let Ok(entries) = fs::read_dir(path) else { return 0 };
-    let size = |entry: fs::DirEntry| match entry.metadata() {
-        Ok(data) if data.is_dir() => folder_size(&entry.path()),
-        Ok(data) => data.len(),
+    let entry_bytes = |entry: fs::DirEntry| match entry.metadata() {
+        Ok(metadata) if metadata.is_dir() => folder_bytes(&entry.path()),
+        Ok(metadata) => metadata.len(),
         Err(_) => 0,
     };
-    entries.flatten().map(size).sum()
+    entries.flatten().map(entry_bytes).sum()
 }
 
-/// A sender answers that it is ready.
-pub fn is_ready(at: SocketAddr) -> bool {
-    let ask = || -> std::io::Result<bool> {
-        let mut stream = TcpStream::connect(at)?;
+/// Whether the sender at an address answers that it is ready.
+pub fn is_ready(address: SocketAddr) -> bool {
+    let request_readiness = || -> std::io::Result<bool> {
+        let mut stream = TcpStream::connect(address)?;
         stream.set_read_timeout(Some(Duration::from_secs(3)))?;
         stream.write_all(b"GET /ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")?;
-        let mut head = [0; 12];
-        stream.read_exact(&mut head)?;
-        Ok(head.ends_with(b" 200"))
+        let mut status_line_start = [0; 12];
+        stream.read_exact(&mut status_line_start)?;
+        Ok(status_line_start.ends_with(b" 200"))
     };
-    ask().unwrap_or(false)
+    request_readiness().unwrap_or(false)
 }
--- a/crates/scale/src/soak/clients.rs
+++ b/crates/scale/src/soak/clients.rs
@@ -1,9 +1,9 @@
-//! Clients of a sender under test: ones that hand in at a steady rate, ones that rest on their connections, ones that
-//! stop in the middle of a request and stay, and crowds that say nothing.
+//! Clients of a sender under test: some hand in webhooks at a steady rate, some wait between their requests, some stall
+//! in the middle of a request, and some connect in large numbers and send nothing.
 
-use super::plan::Settings;
-use crate::draws::Draws;
-use crate::interrupt::Stop;
+use super::plan::RunSettings;
+use crate::interrupt::StopFlag;
+use crate::random::SeededRng;
 use crate::standins::clients::{Client, HandInResult};
 use crate::standins::id::{EventType, WebhookId};
 use crate::standins::receivers::SharedJudge;
@@ -13,127 +13,144 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-const BODY: usize = 300;
-/// A client that was refused hands in anew after this.
+/// The size of a webhook's body.
+const BODY_BYTES: usize = 300;
+/// The pause of a client whose webhook was not accepted.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
-/// A client rests for this long at most between two requests; senders end connections that rest for 2 s.
-const LONGEST_REST: f64 = 4.5;
-/// Clients that rest, for each sender.
-const RESTING: u64 = 3;
-/// More than a client that stops has to wait.
-const STOPPED_PATIENCE: Duration = Duration::from_millis(3400);
+/// The longest pause of an intermittent client. Senders close connections that are idle for 2 s.
+const MAX_IDLE_SECS: f64 = 4.5;
+/// Intermittent clients of each sender.
+const INTERMITTENT_CLIENTS: u64 = 3;
+/// How long a stalled client waits for the sender: longer than the delivery rules allow.
+const STALLED_CLIENT_TIMEOUT: Duration = Duration::from_millis(3400);
 
-/// What a client does until it is told to stop.
-pub type Work = Box<dyn FnOnce(&Stop) + Send>;
+/// What the thread of a client runs, until the flag is set.
+pub type ClientTask = Box<dyn FnOnce(&StopFlag) + Send>;
 
-/// One sender as its clients see it.
+/// Creates the clients of one sender, and the ids of their webhooks.
 #[derive(Clone)]
-pub struct Door {
-    pub me: u16,
-    pub at: SocketAddr,
-    pub record: SharedJudge,
-    /// No two webhooks of a sender have one number.
-    numbers: Arc<AtomicU32>,
-    destinations: u32,
+pub struct ClientFactory {
+    /// The number of the sender.
+    pub sender: u16,
+    /// Where the sender listens.
+    pub address: SocketAddr,
+    /// The judge that records what the clients see.
+    pub judge: SharedJudge,
+    /// The number of the next webhook. All clients of the sender share it, so that numbers are unique.
+    next_number: Arc<AtomicU32>,
+    destination_count: u32,
     ttl: Duration,
     ordered: bool,
 }
 
-impl Door {
-    pub fn new(me: u16, at: SocketAddr, record: &SharedJudge, settings: &Settings) -> Door {
-        Door {
-            me,
-            at,
-            record: record.clone(),
-            numbers: Arc::default(),
-            destinations: settings.destinations,
-            ttl: Duration::from_secs_f64(settings.ttl),
+impl ClientFactory {
+    /// A factory for the clients of a sender.
+    pub fn new(
+        sender: u16, address: SocketAddr, judge: &SharedJudge, settings: &RunSettings,
+    ) -> ClientFactory {
+        ClientFactory {
+            sender,
+            address,
+            judge: judge.clone(),
+            next_number: Arc::default(),
+            destination_count: settings.destination_count,
+            ttl: Duration::from_secs_f64(settings.ttl_secs),
             ordered: settings.ordered,
         }
     }
 
     /// A client with a connection of its own.
     pub fn client(&self) -> Client {
-        Client::new(self.at, self.record.clone(), BODY)
+        Client::new(self.address, self.judge.clone(), BODY_BYTES)
     }
 
     /// The id of a new webhook.
-    pub fn id(&self, destination: u32, event_type: EventType) -> WebhookId {
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        WebhookId { sender: self.me, destination, number, event_type }
+    pub fn new_id(&self, destination: u32, event_type: EventType) -> WebhookId {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        WebhookId { sender: self.sender, destination, number, event_type }
     }
 
-    /// An event type without order, as others may hand in for the same key at the same time.
-    fn unordered(&self, draws: &mut Draws) -> EventType {
-        let all =
+    /// An event type without ordering key. Ordered webhooks for one key must come from one client alone, as the order of
+    /// those that several clients hand in at the same time is not known.
+    fn choose_unordered_type(&self, rng: &mut SeededRng) -> EventType {
+        let unordered =
             [EventType::Idempotent, EventType::Tokened, EventType::TokenedInZone, EventType::AtMostOnce];
-        draws.one_of(&all)
+        rng.choose(&unordered)
     }
 
-    /// Hands in for one destination at a rate; that client alone hands in what keeps its order there.
-    fn steady(&self, dest: u32, rate: f64, mut draws: Draws, stop: &Stop) {
-        let (mut client, began) = (self.client(), Instant::now());
-        let mut turn = 0;
+    /// Hands in webhooks for one destination at a steady rate. Only this client hands in ordered webhooks for it.
+    fn run_steady_client(
+        &self, destination: u32, webhooks_per_sec: f64, mut rng: SeededRng, stop: &StopFlag,
+    ) {
+        let (mut client, began_at) = (self.client(), Instant::now());
+        let mut handed_in = 0;
         while !stop.is_set() {
-            stop.sleep_until(began + Duration::from_secs_f64(f64::from(turn) / rate));
-            turn += 1;
-            let event_type = match self.ordered && draws.happens(0.2) {
+            stop.sleep_until(began_at + Duration::from_secs_f64(f64::from(handed_in) / webhooks_per_sec));
+            handed_in += 1;
+            let event_type = match self.ordered && rng.happens(0.2) {
                 true => EventType::Ordered,
-                false => self.unordered(&mut draws),
+                false => self.choose_unordered_type(&mut rng),
             };
-            let id = self.id(dest, event_type);
+            let id = self.new_id(destination, event_type);
             if client.hand_in(id, self.ttl) != HandInResult::Accepted {
                 stop.sleep(RETRY_PAUSE);
             }
         }
     }
 
-    /// Rests between two requests, often for about as long as a sender lets a connection rest.
-    fn resting(&self, mut draws: Draws, stop: &Stop) {
+    /// Pauses between two requests, often for about as long as a sender keeps an idle connection open.
+    fn run_intermittent_client(&self, mut rng: SeededRng, stop: &StopFlag) {
         let mut client = self.client();
         while !stop.is_set() {
-            let dest = draws.below(self.destinations as usize) as u32;
-            let id = self.id(dest, self.unordered(&mut draws));
+            let destination = rng.below(self.destination_count as usize) as u32;
+            let id = self.new_id(destination, self.choose_unordered_type(&mut rng));
             client.hand_in(id, self.ttl);
-            stop.sleep(Duration::from_secs_f64(draws.between(0.0, LONGEST_REST)));
+            stop.sleep(Duration::from_secs_f64(rng.between(0.0, MAX_IDLE_SECS)));
         }
     }
 
-    /// All clients that are there from the begin to the end.
-    pub fn usual(&self, rate: f64, seed: u64) -> Vec<Work> {
-        let mut all: Vec<Work> = Vec::new();
-        for dest in 0..self.destinations {
-            let (door, rate) = (self.clone(), rate / f64::from(self.destinations));
-            let draws = Draws::new(seed ^ u64::from(dest) << 32);
-            all.push(Box::new(move |stop| door.steady(dest, rate, draws, stop)));
+    /// The clients that run during the whole load: one steady client for each destination, and the intermittent ones.
+    pub fn permanent_clients(&self, webhooks_per_sec: f64, seed: u64) -> Vec<ClientTask> {
+        let mut tasks: Vec<ClientTask> = Vec::new();
+        for destination in 0..self.destination_count {
+            let (factory, webhooks_per_sec) =
+                (self.clone(), webhooks_per_sec / f64::from(self.destination_count));
+            let rng = SeededRng::new(seed ^ u64::from(destination) << 32);
+            tasks.push(Box::new(move |stop| {
+                factory.run_steady_client(destination, webhooks_per_sec, rng, stop)
+            }));
         }
-        for number in 0..RESTING {
-            let (door, draws) = (self.clone(), Draws::new(seed ^ (100 + number) << 32));
-            all.push(Box::new(move |stop| door.resting(draws, stop)));
+        for number in 0..INTERMITTENT_CLIENTS {
+            let (factory, rng) = (self.clone(), SeededRng::new(seed ^ (100 + number) << 32));
+            tasks.push(Box::new(move |stop| factory.run_intermittent_client(rng, stop)));
         }
-        all
+        tasks
     }
 
-    /// Stops in the middle of a request and stays until the sender ends it.
-    pub fn stop_midway(&self) {
-        let Ok(mut stream) = TcpStream::connect(self.at) else { return };
-        let began = self.record.now();
-        let half = b"POST /idem HTTP/1.1\r\nHost: a\r\nReq-Id: half\r\nContent-Le";
-        if stream.write_all(half).is_err() || stream.set_read_timeout(Some(STOPPED_PATIENCE)).is_err() {
+    /// Stops in the middle of a request and waits until the sender answers or closes the connection.
+    pub fn run_stalled_client(&self) {
+        let Ok(mut stream) = TcpStream::connect(self.address) else { return };
+        let began_at_secs = self.judge.now();
+        let partial_request = b"POST /idem HTTP/1.1\r\nHost: a\r\nReq-Id: half\r\nContent-Le";
+        if stream.write_all(partial_request).is_err()
+            || stream.set_read_timeout(Some(STALLED_CLIENT_TIMEOUT)).is_err()
+        {
             return;
         }
-        let heard = stream.read(&mut [0; 64]);
-        let timed_out = heard.is_err_and(|e| matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut));
+        let result = stream.read(&mut [0; 64]);
+        let timed_out =
+            result.is_err_and(|error| matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut));
         if timed_out {
-            let me = self.me;
-            self.record.with(|judge, now| judge.record_stalled_client(me, began, now));
+            let sender = self.sender;
+            self.judge.with(|judge, now| judge.record_stalled_client(sender, began_at_secs, now));
         }
     }
 
-    /// Many that connect, say nothing and leave after a while.
-    pub fn crowd(&self, count: usize, lasts: Duration, stop: &Stop) {
-        let all: Vec<TcpStream> = (0..count).map_while(|_| TcpStream::connect(self.at).ok()).collect();
-        stop.sleep(lasts);
-        drop(all);
+    /// Opens many connections, sends nothing over them, and closes them after a while.
+    pub fn open_idle_connections(&self, count: usize, duration: Duration, stop: &StopFlag) {
+        let connections: Vec<TcpStream> =
+            (0..count).map_while(|_| TcpStream::connect(self.address).ok()).collect();
+        stop.sleep(duration);
+        drop(connections);
     }
 }
--- a/crates/scale/src/soak/plan.rs
+++ b/crates/scale/src/soak/plan.rs
@@ -1,226 +1,250 @@
-//! What a run of the soak does: its settings, and its faults in the order in which they begin.
+//! What one run of the soak does: its settings, and the faults that it injects.
 
 use std::fmt;
 use std::str::FromStr;
 
 /// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
-    /// SIGKILL, and a start 0.6 s later.
+pub enum FaultKind {
+    /// The sender gets SIGKILL and is started again 0.6 s later.
     Kill,
-    /// SIGKILL, a start, and SIGKILL again within a second or two.
+    /// The sender gets SIGKILL, is started again, and gets SIGKILL again up to 1.5 s later.
     KillTwice,
-    /// SIGKILL right behind the answer that takes a webhook on.
+    /// The sender gets SIGKILL right after the answer that accepts a webhook.
     KillBehindAnswer,
-    /// SIGTERM, SIGKILL 3.7 s later if the process is still there.
+    /// The sender gets SIGTERM, and SIGKILL 3.7 s later if its process has not ended.
     Terminate,
-    /// New configurations in a row with SIGHUP.
+    /// The sender gets several configurations one right after another, each with SIGHUP.
     Reload,
-    /// SIGHUP, and SIGTERM right behind.
+    /// The sender gets SIGHUP and right after it SIGTERM.
     ReloadAndTerminate,
-    /// The wall clock is stepped in a life.
+    /// The wall clock is stepped while the sender runs.
     ClockStep,
-    /// SIGKILL, and the wall clock is stepped before the start.
+    /// The sender gets SIGKILL, and the wall clock is stepped before it is started again.
     ClockStepBetween,
-    /// The process is held up behind readings of its clock.
+    /// Threads of the sender pause after some reads of the monotonic clock.
     HoldUp,
-    /// System calls on sockets fail or come short.
+    /// Some system calls on the sender's sockets fail, or transfer fewer bytes than requested.
     SystemCalls,
-    /// Writes to the folder fail.
+    /// Writes to the sender's state folder fail.
     Folder,
-    /// A destination takes calls and answers none.
+    /// A destination accepts calls and never answers.
     Hang,
-    /// It answers 503.
+    /// A destination answers 503.
     Refuse,
-    /// It answers 429 and tells a wait.
+    /// A destination answers 429 with a Retry-After.
     Wait,
-    /// It answers 500.
+    /// A destination answers 500.
     Fail,
-    /// It refuses connections, and comes back cold.
+    /// A destination refuses connections, and is cold when it is back.
     Crash,
-    /// It ends each connection without an answer.
+    /// A destination closes each connection without an answer.
     HangUp,
     /// An endpoint answers late.
     Late,
-    /// An endpoint writes half an answer.
+    /// An endpoint sends half an answer and closes the connection.
     Half,
-    /// An endpoint writes what is no answer.
+    /// An endpoint sends bytes that are not an HTTP response.
     Noise,
-    /// An endpoint ends connections that were to be kept.
+    /// An endpoint closes connections that were to be kept alive.
     EndKept,
     /// An endpoint drains for a while.
     Drain,
-    /// The list service answers nothing.
+    /// The list service does not answer calls for the list.
     DiscoverySilent,
-    /// Nothing passes between senders and an endpoint.
+    /// Nothing passes between the senders and an endpoint.
     Cut,
-    /// Answers of an endpoint get lost.
+    /// The answers of an endpoint get lost.
     LoseAnswers,
     /// All connections to an endpoint are reset.
     ResetAll,
-    /// New connections to an endpoint come up late.
+    /// New connections to an endpoint are accepted late.
     LateConnect,
-    /// Many clients connect and say nothing.
+    /// Many clients connect to the sender and send nothing.
     Crowd,
-    /// Clients stop in the middle of a request and stay.
+    /// Clients stop in the middle of a request and keep the connection open.
     StopMidway,
 }
 
-impl Kind {
-    /// All kinds with their names.
-    pub const ALL: [(Kind, &'static str); 29] = [
-        (Kind::Kill, "kill"),
-        (Kind::KillTwice, "kill-twice"),
-        (Kind::KillBehindAnswer, "kill-behind-answer"),
-        (Kind::Terminate, "terminate"),
-        (Kind::Reload, "reload"),
-        (Kind::ReloadAndTerminate, "reload-and-terminate"),
-        (Kind::ClockStep, "clock-step"),
-        (Kind::ClockStepBetween, "clock-step-between"),
-        (Kind::HoldUp, "hold-up"),
-        (Kind::SystemCalls, "system-calls"),
-        (Kind::Folder, "folder"),
-        (Kind::Hang, "hang"),
-        (Kind::Refuse, "refuse"),
-        (Kind::Wait, "wait"),
-        (Kind::Fail, "fail"),
-        (Kind::Crash, "crash"),
-        (Kind::HangUp, "hang-up"),
-        (Kind::Late, "late"),
-        (Kind::Half, "half"),
-        (Kind::Noise, "noise"),
-        (Kind::EndKept, "end-kept"),
-        (Kind::Drain, "drain"),
-        (Kind::DiscoverySilent, "discovery-silent"),
-        (Kind::Cut, "cut"),
-        (Kind::LoseAnswers, "lose-answers"),
-        (Kind::ResetAll, "reset-all"),
-        (Kind::LateConnect, "late-connect"),
-        (Kind::Crowd, "crowd"),
-        (Kind::StopMidway, "stop-midway"),
+impl FaultKind {
+    /// All kinds with their names on the command line and in reports.
+    pub const ALL: [(FaultKind, &'static str); 29] = [
+        (FaultKind::Kill, "kill"),
+        (FaultKind::KillTwice, "kill-twice"),
+        (FaultKind::KillBehindAnswer, "kill-behind-answer"),
+        (FaultKind::Terminate, "terminate"),
+        (FaultKind::Reload, "reload"),
+        (FaultKind::ReloadAndTerminate, "reload-and-terminate"),
+        (FaultKind::ClockStep, "clock-step"),
+        (FaultKind::ClockStepBetween, "clock-step-between"),
+        (FaultKind::HoldUp, "hold-up"),
+        (FaultKind::SystemCalls, "system-calls"),
+        (FaultKind::Folder, "folder"),
+        (FaultKind::Hang, "hang"),
+        (FaultKind::Refuse, "refuse"),
+        (FaultKind::Wait, "wait"),
+        (FaultKind::Fail, "fail"),
+        (FaultKind::Crash, "crash"),
+        (FaultKind::HangUp, "hang-up"),
+        (FaultKind::Late, "late"),
+        (FaultKind::Half, "half"),
+        (FaultKind::Noise, "noise"),
+        (FaultKind::EndKept, "end-kept"),
+        (FaultKind::Drain, "drain"),
+        (FaultKind::DiscoverySilent, "discovery-silent"),
+        (FaultKind::Cut, "cut"),
+        (FaultKind::LoseAnswers, "lose-answers"),
+        (FaultKind::ResetAll, "reset-all"),
+        (FaultKind::LateConnect, "late-connect"),
+        (FaultKind::Crowd, "crowd"),
+        (FaultKind::StopMidway, "stop-midway"),
     ];
 
-    /// The name on the command line.
+    /// The name on the command line and in reports.
     pub fn name(self) -> &'static str {
-        Kind::ALL.iter().find(|(kind, _)| *kind == self).map_or("", |(_, name)| name)
+        FaultKind::ALL.iter().find(|(kind, _)| *kind == self).map_or("", |(_, name)| name)
     }
 
-    /// It ends a sender's process.
+    /// Whether it ends a sender's process.
     pub fn ends_process(self) -> bool {
-        use Kind::{ClockStepBetween, Kill, KillBehindAnswer, KillTwice, ReloadAndTerminate, Terminate};
+        use FaultKind::{ClockStepBetween, Kill, KillBehindAnswer, KillTwice, ReloadAndTerminate, Terminate};
         matches!(
             self,
             Kill | KillTwice | KillBehindAnswer | Terminate | ReloadAndTerminate | ClockStepBetween
         )
     }
 
-    /// It is done to a sender.
-    pub fn is_of_sender(self) -> bool {
-        use Kind::{ClockStep, Crowd, Folder, HoldUp, Reload, StopMidway, SystemCalls};
+    /// Whether its target is a sender.
+    pub fn targets_sender(self) -> bool {
+        use FaultKind::{ClockStep, Crowd, Folder, HoldUp, Reload, StopMidway, SystemCalls};
         let others = [ClockStep, Crowd, Folder, HoldUp, Reload, StopMidway, SystemCalls];
         self.ends_process() || others.contains(&self)
     }
 
-    /// It is done to a whole destination, which is cold afterwards.
+    /// Whether it is an outage of a whole destination, which is cold afterwards.
     pub fn is_outage(self) -> bool {
-        use Kind::{Crash, Fail, Hang, HangUp, Refuse};
+        use FaultKind::{Crash, Fail, Hang, HangUp, Refuse};
         matches!(self, Hang | Refuse | Fail | Crash | HangUp)
     }
 
-    /// It is done on the way between senders and an endpoint.
-    pub fn is_on_the_way(self) -> bool {
-        use Kind::{Cut, LateConnect, LoseAnswers, ResetAll};
+    /// Whether it disturbs the connections between the senders and an endpoint.
+    pub fn is_connection_fault(self) -> bool {
+        use FaultKind::{Cut, LateConnect, LoseAnswers, ResetAll};
         matches!(self, Cut | LoseAnswers | ResetAll | LateConnect)
     }
 }
 
-impl FromStr for Kind {
+impl FromStr for FaultKind {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let found = Kind::ALL.iter().find(|(_, name)| *name == text).map(|(kind, _)| *kind);
-        let names = || Kind::ALL.map(|(_, name)| name).join(", ");
-        found.ok_or_else(|| format!("--without: {text} is no kind of fault; there are {}", names()))
+        let found = FaultKind::ALL.iter().find(|(_, name)| *name == text).map(|(kind, _)| *kind);
+        let names = || FaultKind::ALL.map(|(_, name)| name).join(", ");
+        found.ok_or_else(|| format!("--without: unknown kind of fault {text}; the kinds are {}", names()))
     }
 }
 
-/// One fault. Times are seconds since the load began.
+/// One fault of a run. Times are seconds since the load began.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Event {
-    pub at: f64,
-    /// How long it lasts; 0 where it is over at once.
-    pub lasts: f64,
-    pub kind: Kind,
+pub struct Fault {
+    /// When it begins.
+    pub start_secs: f64,
+    /// How long it lasts; 0 if it happens at one moment.
+    pub duration_secs: f64,
+    /// What goes wrong.
+    pub kind: FaultKind,
     /// The number of the sender, destination or endpoint.
     pub target: usize,
-    /// What the kind says: seconds of a step or wait, milliseconds of a hold-up, a count of clients or configurations, the
-    /// number of a folder's fault.
+    /// Its size, in the unit that its kind defines: seconds of a clock step or wait, milliseconds of a pause, a count of
+    /// clients or configurations, or the number of a `FolderFault`.
     pub amount: f64,
 }
 
-impl Event {
-    /// It lasts at that time, or not much longer ago than a margin.
-    pub fn is_near(&self, at: f64, margin: f64) -> bool {
-        self.at - margin <= at && at <= self.at + self.lasts + margin
+impl Fault {
+    /// Whether it is active at a time, or began or ended at most `margin_secs` away from it.
+    pub fn is_near(&self, at_secs: f64, margin_secs: f64) -> bool {
+        self.start_secs - margin_secs <= at_secs
+            && at_secs <= self.start_secs + self.duration_secs + margin_secs
     }
 
-    /// The two last at the same time, or closer than a margin.
-    pub fn meets(&self, other: &Event, margin: f64) -> bool {
-        self.at < other.at + other.lasts + margin && other.at < self.at + self.lasts + margin
+    /// Whether two faults are active at the same time, or are less than `margin_secs` apart.
+    pub fn overlaps(&self, other: &Fault, margin_secs: f64) -> bool {
+        self.start_secs < other.start_secs + other.duration_secs + margin_secs
+            && other.start_secs < self.start_secs + self.duration_secs + margin_secs
     }
 }
 
-impl fmt::Display for Event {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Event { at, lasts, kind, target, amount } = self;
-        write!(f, "{at:7.3} s {:<20} of {target}", kind.name())?;
-        if *lasts > 0.0 {
-            write!(f, " for {lasts:.3} s")?;
+impl fmt::Display for Fault {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        let Fault { start_secs, duration_secs, kind, target, amount } = self;
+        write!(formatter, "{start_secs:7.3} s {:<20} of {target}", kind.name())?;
+        if *duration_secs > 0.0 {
+            write!(formatter, " for {duration_secs:.3} s")?;
         }
-        if *amount != 0.0 { write!(f, " ({amount:.3})") } else { Ok(()) }
+        if *amount != 0.0 { write!(formatter, " ({amount:.3})") } else { Ok(()) }
     }
 }
 
-/// What a run is set to. Times are seconds.
+/// The settings of a run.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Settings {
-    pub senders: usize,
-    pub destinations: u32,
-    /// Webhooks a second for each sender.
-    pub rate: f64,
-    /// Calls a second that a destination takes.
-    pub takes: f64,
-    pub ttl: f64,
-    pub window: f64,
-    /// Webhooks of one type keep their order by key.
+pub struct RunSettings {
+    /// Sender processes.
+    pub sender_count: usize,
+    /// Destinations in the endpoint list.
+    pub destination_count: u32,
+    /// Webhooks that clients hand in to each sender, per second.
+    pub webhooks_per_sec: f64,
+    /// Calls that a destination can take per second.
+    pub calls_per_sec: f64,
+    /// TTL of all webhooks.
+    pub ttl_secs: f64,
+    /// How long destinations recognize an idempotency key.
+    pub repeat_window_secs: f64,
+    /// Whether some webhooks have an ordering key.
     pub ordered: bool,
-    pub asks: bool,
+    /// Whether senders request the endpoint list; otherwise it is pushed to them.
+    pub pulls_list: bool,
+    /// Calls that a sender may have in flight at once.
     pub slots: usize,
-    pub holds: usize,
+    /// Webhooks that a sender may hold at once.
+    pub max_pending: usize,
 }
 
-/// A run, as its seed draws it.
+/// A run, as its seed determines it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
+    /// The seed that it was generated from.
     pub seed: u64,
-    /// Seconds of load.
-    pub seconds: f64,
-    pub settings: Settings,
-    /// In the order in which they begin.
-    pub events: Vec<Event>,
+    /// How long clients hand in webhooks, in seconds.
+    pub load_secs: f64,
+    /// What stays the same during the run.
+    pub settings: RunSettings,
+    /// The faults, in the order in which they begin.
+    pub faults: Vec<Fault>,
 }
 
 impl fmt::Display for Plan {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Settings { senders, destinations, rate, takes, ttl, window, ordered, asks, slots, holds } =
-            &self.settings;
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        let RunSettings {
+            sender_count,
+            destination_count,
+            webhooks_per_sec,
+            calls_per_sec,
+            ttl_secs,
+            repeat_window_secs,
+            ordered,
+            pulls_list,
+            slots,
+            max_pending,
+        } = &self.settings;
         writeln!(
-            f,
-            "seed {}: {:.0} s, {senders} senders, {destinations} destinations that take {takes:.0} a second, \
-             {rate:.0} webhooks a second each, time to live {ttl:.2} s, window {window:.2} s, ordered {ordered}, \
-             lists asked for {asks}, {slots} slots, {holds} held",
-            self.seed, self.seconds
+            formatter,
+            "seed {}: {:.0} s, {sender_count} senders, {destination_count} destinations that take {calls_per_sec:.0} a \
+             second, {webhooks_per_sec:.0} webhooks a second each, time to live {ttl_secs:.2} s, window \
+             {repeat_window_secs:.2} s, ordered {ordered}, lists asked for {pulls_list}, {slots} slots, \
+             {max_pending} held",
+            self.seed, self.load_secs
         )?;
-        self.events.iter().try_for_each(|event| writeln!(f, "  {event}"))
+        self.faults.iter().try_for_each(|fault| writeln!(formatter, "  {fault}"))
     }
 }
--- a/crates/scale/src/soak/testbed.rs
+++ b/crates/scale/src/soak/testbed.rs
@@ -1,12 +1,12 @@
-//! The parties of a run: list service, receivers, proxies before them, and the senders with the fault shim.
+//! The parties of a run: the list service, the receivers with a proxy before each, and the senders with the fault shim.
 
-use super::drawing::ENDPOINTS_EACH;
-use super::plan::{Plan, Settings};
+use super::plan::{Plan, RunSettings};
+use super::plan_generator::ENDPOINTS_PER_DESTINATION;
 use super::proxy::Proxy;
 use crate::error::Error;
 use crate::fleet::{Addresses, Party};
 use crate::guard::Guard;
-use crate::process::Sender;
+use crate::process::SenderProcess;
 use crate::settings::SenderSettings;
 use crate::standins::judge::{EndpointLocation, Judge, RecoveryParameters, RuleParameters};
 use crate::standins::list_service::{Endpoint, ListService};
@@ -19,43 +19,54 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const PROXY_PORT: u16 = 18_081;
-const RECEIVER_PORT: u16 = 19_081;
+const FIRST_PROXY_PORT: u16 = 18_081;
+const FIRST_RECEIVER_PORT: u16 = 19_081;
+/// The port of the first sender, and of its address at the list service.
 const FIRST_SENDER_PORT: u16 = 20_000;
-/// Attempts for one webhook at most.
-const ATTEMPTS: u32 = 8;
-const SOCKETS: usize = 256;
-const DISK_MB: f64 = 6.0;
-const ZONES: [&str; ENDPOINTS_EACH] = ["north", "south"];
+/// The most attempts for one webhook.
+const MAX_ATTEMPTS: u32 = 8;
+const MAX_SOCKETS: usize = 256;
+const DISK_LIMIT_MB: f64 = 6.0;
+const ZONES: [&str; ENDPOINTS_PER_DESTINATION] = ["north", "south"];
 
-/// Seconds that a receiver takes for a call when it is well.
-pub const SERVICE: Duration = Duration::from_millis(4);
+/// How long a receiver takes to answer a call when it is well.
+pub const SERVICE_TIME: Duration = Duration::from_millis(4);
 
-/// A sender's process and what steers its shim.
-pub struct Subject {
-    pub me: u16,
-    pub sender: Sender,
-    pub control: ControlFile,
+/// A sender under test, with the control file of its fault shim.
+pub struct SenderUnderTest {
+    /// Its number among the senders of the run.
+    pub number: u16,
+    /// Its process.
+    pub process: SenderProcess,
+    /// Controls the faults inside its process.
+    pub shim_control: ControlFile,
     settings: SenderSettings,
 }
 
-/// All parties of a run.
+/// All parties of a run except the senders.
 pub struct Testbed {
-    pub record: SharedJudge,
-    pub list: Server<ListService>,
+    /// The judge that records what the parties see.
+    pub judge: SharedJudge,
+    /// The platform's list service.
+    pub list_service: Server<ListService>,
+    /// The receivers of all endpoints.
     pub receivers: Server<Receivers>,
+    /// The proxy before each endpoint's receiver, by the endpoint's number.
     pub proxies: Vec<Proxy>,
+    /// The list entry of each endpoint, by its number.
     pub endpoints: Vec<Endpoint>,
-    /// Where each endpoint's receiver listens, behind its proxy.
-    pub at: Vec<SocketAddr>,
-    pub terms: RuleParameters,
-    pub rate: f64,
+    /// Where each endpoint's receiver listens, behind its proxy, by the endpoint's number.
+    pub receiver_addresses: Vec<SocketAddr>,
+    /// The limits and grace periods of the delivery rules.
+    pub rule_parameters: RuleParameters,
+    /// Calls that a destination can take per second.
+    pub calls_per_sec: f64,
 }
 
-/// The rules' figures for a plan.
-pub fn terms(settings: &Settings) -> RuleParameters {
+/// The limits and grace periods of the delivery rules for a run.
+pub fn rule_parameters(settings: &RunSettings) -> RuleParameters {
     RuleParameters {
-        repeat_window_secs: settings.window,
+        repeat_window_secs: settings.repeat_window_secs,
         recovery: RecoveryParameters::default(),
         ..RuleParameters::default()
     }
@@ -65,83 +76,99 @@
     /// Starts the stand-ins and prepares the senders, which are not started yet.
     pub fn prepare(
         program: &Path, plan: &Plan, guard: &Arc<Guard>,
-    ) -> Result<(Testbed, Vec<Subject>), Error> {
+    ) -> Result<(Testbed, Vec<SenderUnderTest>), Error> {
         let (settings, addresses) = (&plan.settings, Addresses::new());
-        let terms = terms(settings);
-        let record = SharedJudge::new(Judge::new(terms.clone()));
-        let count = settings.destinations as usize * ENDPOINTS_EACH;
-        let port = |first: u16, number: usize| first + number as u16;
-        let at: Vec<SocketAddr> =
-            (0..count).map(|n| addresses.of(Party::Receivers, port(RECEIVER_PORT, n))).collect();
-        let mut service = Receivers::new(record.clone(), Behaviour::Serve(SERVICE));
-        for (number, own) in at.iter().enumerate() {
-            service.set_endpoint(*own, place(number));
+        let rule_parameters = rule_parameters(settings);
+        let judge = SharedJudge::new(Judge::new(rule_parameters.clone()));
+        let endpoint_count = settings.destination_count as usize * ENDPOINTS_PER_DESTINATION;
+        let port = |first_port: u16, number: usize| first_port + number as u16;
+        let receiver_addresses: Vec<SocketAddr> = (0..endpoint_count)
+            .map(|number| addresses.address(Party::Receivers, port(FIRST_RECEIVER_PORT, number)))
+            .collect();
+        let mut service = Receivers::new(judge.clone(), Behaviour::Serve(SERVICE_TIME));
+        for (number, receiver_address) in receiver_addresses.iter().enumerate() {
+            service.set_endpoint(*receiver_address, endpoint_location(number));
         }
-        let receivers = Server::start(&at, service)?;
+        let receivers = Server::start(&receiver_addresses, service)?;
         let (mut proxies, mut endpoints) = (Vec::new(), Vec::new());
-        for (number, own) in at.iter().enumerate() {
-            let listen = addresses.of(Party::Receivers, port(PROXY_PORT, number));
-            proxies.push(Proxy::start(listen, *own)?);
-            endpoints.push(endpoint(number, listen, settings.takes));
+        for (number, receiver_address) in receiver_addresses.iter().enumerate() {
+            let proxy_address = addresses.address(Party::Receivers, port(FIRST_PROXY_PORT, number));
+            proxies.push(Proxy::start(proxy_address, *receiver_address)?);
+            endpoints.push(endpoint(number, proxy_address, settings.calls_per_sec));
         }
-        let places = 0..settings.senders as u16;
-        let discovery = |me: u16| addresses.of(Party::Discovery, FIRST_SENDER_PORT + me);
-        let known: HashMap<SocketAddr, u16> = places.clone().map(|me| (discovery(me), me)).collect();
-        let asked: Vec<SocketAddr> = places.clone().map(discovery).collect();
-        let list = Server::start(&asked, ListService::new(record.clone(), known, endpoints.clone()))?;
+        let senders = 0..settings.sender_count as u16;
+        let list_address = |sender: u16| addresses.address(Party::ListService, FIRST_SENDER_PORT + sender);
+        let senders_by_address: HashMap<SocketAddr, u16> =
+            senders.clone().map(|sender| (list_address(sender), sender)).collect();
+        let list_addresses: Vec<SocketAddr> = senders.clone().map(list_address).collect();
+        let list_service = Server::start(
+            &list_addresses,
+            ListService::new(judge.clone(), senders_by_address, endpoints.clone()),
+        )?;
         let mut subjects = Vec::new();
-        for me in places {
-            let listen = addresses.of(Party::Sender, FIRST_SENDER_PORT + me);
-            let own = sender_settings(settings, me, listen, discovery(me));
-            let name = format!("soak-{}-{me}", plan.seed);
-            let config = own.encode(&terms, &endpoints);
-            let mut sender = Sender::prepare(program, &name, listen, &config, guard)?;
-            sender.log_everything();
-            let control = sender.load_shim()?;
-            subjects.push(Subject { me, sender, control, settings: own });
+        for number in senders {
+            let listen_address = addresses.address(Party::Sender, FIRST_SENDER_PORT + number);
+            let settings = sender_settings(settings, number, listen_address, list_address(number));
+            let name = format!("soak-{}-{number}", plan.seed);
+            let config = settings.encode(&rule_parameters, &endpoints);
+            let mut process = SenderProcess::prepare(program, &name, listen_address, &config, guard)?;
+            process.enable_debug_log();
+            let shim_control = process.load_shim()?;
+            subjects.push(SenderUnderTest { number, process, shim_control, settings });
         }
-        let rate = settings.takes;
-        Ok((Testbed { record, list, receivers, proxies, endpoints, at, terms, rate }, subjects))
+        let calls_per_sec = settings.calls_per_sec;
+        Ok((
+            Testbed {
+                judge,
+                list_service,
+                receivers,
+                proxies,
+                endpoints,
+                receiver_addresses,
+                rule_parameters,
+                calls_per_sec,
+            },
+            subjects,
+        ))
     }
 
-    /// Writes a sender's configuration anew, with other limits.
-    pub fn reconfigure(&self, subject: &mut Subject, holds: usize) -> Result<(), Error> {
-        subject.settings.holds = holds;
-        subject.sender.write_config(&subject.settings.encode(&self.terms, &self.endpoints))
+    /// Writes a new configuration for a sender, with another limit of pending webhooks.
+    pub fn reconfigure(&self, subject: &mut SenderUnderTest, max_pending: usize) -> Result<(), Error> {
+        subject.settings.max_pending = max_pending;
+        subject.process.write_config(&subject.settings.encode(&self.rule_parameters, &self.endpoints))
     }
 
-    /// Endpoints of a destination.
-    pub fn endpoints_of(&self, dest: usize) -> Vec<usize> {
-        (dest * ENDPOINTS_EACH..(dest + 1) * ENDPOINTS_EACH).collect()
+    /// The numbers of a destination's endpoints.
+    pub fn endpoints_of(&self, destination: usize) -> Vec<usize> {
+        (destination * ENDPOINTS_PER_DESTINATION..(destination + 1) * ENDPOINTS_PER_DESTINATION).collect()
     }
 }
 
-/// The place of an endpoint by its number.
-fn place(number: usize) -> EndpointLocation {
-    EndpointLocation { endpoint: number as u32, zone: (number % ENDPOINTS_EACH) as u8 }
+fn endpoint_location(number: usize) -> EndpointLocation {
+    EndpointLocation { endpoint: number as u32, zone: (number % ENDPOINTS_PER_DESTINATION) as u8 }
 }
 
-fn endpoint(number: usize, dial: SocketAddr, rate: f64) -> Endpoint {
-    let dest = (number / ENDPOINTS_EACH) as u32;
-    let zone = ZONES[number % ENDPOINTS_EACH].to_owned();
-    Endpoint { host: format!("s-{number:08x}"), zone, ..Endpoint::new(dest, dial, rate) }
+fn endpoint(number: usize, address: SocketAddr, calls_per_sec: f64) -> Endpoint {
+    let destination = (number / ENDPOINTS_PER_DESTINATION) as u32;
+    let zone = ZONES[number % ENDPOINTS_PER_DESTINATION].to_owned();
+    Endpoint { host: format!("s-{number:08x}"), zone, ..Endpoint::new(destination, address, calls_per_sec) }
 }
 
 fn sender_settings(
-    settings: &Settings, me: u16, listen: SocketAddr, discovery: SocketAddr,
+    settings: &RunSettings, number: u16, listen_address: SocketAddr, list_address: SocketAddr,
 ) -> SenderSettings {
     SenderSettings {
-        me,
-        instances: settings.senders,
-        listen,
-        discovery,
-        holds: settings.holds,
+        number,
+        sender_count: settings.sender_count,
+        listen_address,
+        list_address,
+        max_pending: settings.max_pending,
         slots: settings.slots,
-        sockets: SOCKETS,
-        disk_mb: DISK_MB,
-        ttl: settings.ttl,
-        attempts: ATTEMPTS,
+        max_sockets: MAX_SOCKETS,
+        disk_limit_mb: DISK_LIMIT_MB,
+        ttl_secs: settings.ttl_secs,
+        max_attempts: MAX_ATTEMPTS,
         rates_listed: true,
-        asks: settings.asks,
+        pulls_list: settings.pulls_list,
     }
 }
--- a/crates/scale/src/verbs/day.rs
+++ b/crates/scale/src/verbs/day.rs
@@ -1,235 +1,249 @@
-//! The verb `day`: a fleet under load while a part of the destinations is down and comes back cold.
+//! The verb `day`: runs a fleet under load while a part of the destinations has an outage and comes back cold.
 
 use crate::error::Error;
-use crate::fleet::{Fleet, Plan};
+use crate::fleet::{Fleet, FleetPlan};
 use crate::guard::{Guard, Limits};
-use crate::interrupt::Stop;
-use crate::process::ProcessorTime;
+use crate::interrupt::StopFlag;
+use crate::process::CpuTime;
 use crate::standins::receivers::Behaviour;
-use crate::verbs::load::{Load, steady};
-use crate::verbs::report::{progress, verdict};
+use crate::verbs::load::{Load, steady_tasks};
+use crate::verbs::report::{print_verdict, progress_bar};
 use bpaf::Bpaf;
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// After the last webhook's time is up, before the judge speaks.
-const MARGIN: Duration = Duration::from_millis(500);
+/// How long after the last webhook's deadline the judge waits for final answers.
+const FINAL_ANSWER_MARGIN: Duration = Duration::from_millis(500);
 
-/// Senders at most, real and hollow.
-pub const MOST_SENDERS: usize = 560;
+/// The most senders of a run, real and hollow ones together.
+pub const MAX_SENDERS: usize = 560;
 
-/// What `day` is told.
+/// Options of `day`
 #[derive(Debug, Clone, Bpaf)]
 pub struct Options {
-    /// The built program
+    /// The built sender program
     #[bpaf(long, argument("PATH"), fallback(PathBuf::from("target/release/scalebarrow")))]
     pub program: PathBuf,
-    /// The day, as experiments/scale/tenth.toml, where each field is explained
+    /// The load profile; experiments/scale/tenth.toml is one in which each field is explained
     #[bpaf(positional("FILE"))]
     pub file: PathBuf,
 }
 
-/// What a destination that is down does.
+/// How a destination answers during its outage.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Down {
+pub enum OutageBehaviour {
     /// It answers 500.
     Fails,
     /// It answers 503.
     Refuses,
-    /// It takes calls and answers none.
+    /// It accepts calls and never answers.
     Silent,
-    /// It ends each connection without an answer.
+    /// It closes each connection without an answer.
     HangsUp,
 }
 
-impl From<Down> for Behaviour {
-    fn from(down: Down) -> Behaviour {
-        match down {
-            Down::Fails => Behaviour::Fail,
-            Down::Refuses => Behaviour::Refuse,
-            Down::Silent => Behaviour::Silent,
-            Down::HangsUp => Behaviour::HangUp,
+impl From<OutageBehaviour> for Behaviour {
+    fn from(outage_behaviour: OutageBehaviour) -> Behaviour {
+        match outage_behaviour {
+            OutageBehaviour::Fails => Behaviour::Fail,
+            OutageBehaviour::Refuses => Behaviour::Refuse,
+            OutageBehaviour::Silent => Behaviour::Silent,
+            OutageBehaviour::HangsUp => Behaviour::HangUp,
         }
     }
 }
 
-/// A day. Times are seconds.
+/// A load profile. All times are seconds.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Day {
-    /// How long webhooks come.
+pub struct LoadProfile {
+    /// How long clients hand in webhooks.
     pub seconds: f64,
-    /// Processes of the program.
+    /// Real senders, each a process of the program.
     pub senders: usize,
-    /// Senders beside them that share processes of the run's own.
+    /// Hollow senders, which share processes.
     #[serde(default)]
     pub hollow: usize,
     /// Clients of each sender, with one connection each.
     pub clients: u32,
+    /// Destinations in the endpoint list, with one endpoint each.
     pub destinations: u32,
-    /// Webhooks a second, over all senders.
+    /// Webhooks per second, over all senders.
     pub rate: f64,
-    /// Time to live of a webhook.
+    /// TTL of a webhook.
     pub ttl: f64,
-    /// What a destination takes, as so many times what it is sent on average.
+    /// The rate that a destination can take, as a multiple of the rate that it is sent on average.
     pub headroom: f64,
-    /// Whether the list tells what destinations take.
+    /// Whether the endpoint list names the rates that destinations can take.
     pub rates_listed: bool,
-    /// Time that a destination takes for a call.
+    /// How long a destination takes to answer a call.
     pub service: f64,
-    /// Calls that a sender may have out at once.
+    /// Calls that a sender may have in flight at once.
     pub slots: usize,
-    /// Webhooks that a sender may hold.
+    /// Webhooks that a sender may hold at once.
     pub holds: usize,
+    /// The outage of a part of the destinations.
     pub outage: Outage,
 }
 
-/// Destinations that go out and come back together.
+/// An outage that some destinations have at the same time. All times are seconds.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Outage {
-    /// The part of the destinations that goes out.
+    /// The fraction of the destinations that have the outage.
     pub part: f64,
-    /// When it begins, and how long it lasts.
+    /// When it begins, since the begin of the load.
     pub from: f64,
+    /// How long it lasts.
     pub lasts: f64,
-    /// What they do meanwhile, in turn.
-    pub does: Vec<Down>,
+    /// How the destinations answer meanwhile, in turn.
+    pub does: Vec<OutageBehaviour>,
 }
 
-impl Day {
-    /// Reads a file; an error names it, the line and the field.
-    pub fn read(path: &Path) -> Result<Day, Error> {
-        let at = |why: String| Error::Input(format!("{}: {why}", path.display()));
-        let text = std::fs::read_to_string(path).map_err(|e| at(e.to_string()))?;
-        Self::decode(&text).map_err(at)
+impl LoadProfile {
+    /// Reads a file. An error names the file, the line and the field.
+    pub fn read(path: &Path) -> Result<LoadProfile, Error> {
+        let input_error = |reason: String| Error::Input(format!("{}: {reason}", path.display()));
+        let text = std::fs::read_to_string(path).map_err(|error| input_error(error.to_string()))?;
+        Self::decode(&text).map_err(input_error)
     }
 
-    /// A day from its text.
-    pub fn decode(text: &str) -> Result<Day, String> {
-        let day: Day = toml::from_str(text).map_err(|e| e.to_string())?;
-        day.check().map_err(|(field, why)| {
-            let name = field.rsplit('.').next().unwrap_or(field);
-            let named = |line: &str| line.split('=').next().is_some_and(|n| n.trim() == name);
-            let line = text.lines().position(named).map_or(0, |line| line + 1);
-            format!("line {line}: {field}: {why}")
+    /// Parses a profile from TOML. An error names the line and the field.
+    pub fn decode(text: &str) -> Result<LoadProfile, String> {
+        let profile: LoadProfile = toml::from_str(text).map_err(|error| error.to_string())?;
+        profile.check().map_err(|(field, requirement)| {
+            let key = field.rsplit('.').next().unwrap_or(field);
+            let sets_field =
+                |line: &str| line.split('=').next().is_some_and(|line_key| line_key.trim() == key);
+            let line = text.lines().position(sets_field).map_or(0, |index| index + 1);
+            format!("line {line}: {field}: {requirement}")
         })?;
-        Ok(day)
+        Ok(profile)
     }
 
+    /// Checks all values. An error is a field and what it must be.
     fn check(&self) -> Result<(), (&'static str, &'static str)> {
-        let at = |field, holds: bool, why| if holds { Ok(()) } else { Err((field, why)) };
-        let above = |value: f64| value > 0.0 && value.is_finite();
-        at("seconds", above(self.seconds) && self.seconds <= 3600.0, "must be above 0 and 3600 at most")?;
-        at("senders", (1..=40).contains(&self.senders), "must be 1 to 40")?;
-        at("hollow", self.hollow + self.senders <= MOST_SENDERS, "must be 560 at most with senders")?;
-        at("clients", (1..=64).contains(&self.clients), "must be 1 to 64")?;
-        at("destinations", (1..=120_000).contains(&self.destinations), "must be 1 to 120000")?;
-        at("rate", above(self.rate), "must be above 0")?;
-        at("ttl", above(self.ttl) && self.ttl <= 600.0, "must be above 0 and 600 at most")?;
-        at("headroom", above(self.headroom), "must be above 0")?;
-        at("service", self.service >= 0.0 && self.service <= self.ttl, "must be 0 to ttl")?;
-        at("slots", self.slots > 0, "must be above 0")?;
-        at("holds", self.holds > 0, "must be above 0")?;
+        let require =
+            |field, holds: bool, requirement| if holds { Ok(()) } else { Err((field, requirement)) };
+        let is_positive = |value: f64| value > 0.0 && value.is_finite();
+        require(
+            "seconds",
+            is_positive(self.seconds) && self.seconds <= 3600.0,
+            "must be above 0 and 3600 at most",
+        )?;
+        require("senders", (1..=40).contains(&self.senders), "must be 1 to 40")?;
+        require("hollow", self.hollow + self.senders <= MAX_SENDERS, "must be 560 at most with senders")?;
+        require("clients", (1..=64).contains(&self.clients), "must be 1 to 64")?;
+        require("destinations", (1..=120_000).contains(&self.destinations), "must be 1 to 120000")?;
+        require("rate", is_positive(self.rate), "must be above 0")?;
+        require("ttl", is_positive(self.ttl) && self.ttl <= 600.0, "must be above 0 and 600 at most")?;
+        require("headroom", is_positive(self.headroom), "must be above 0")?;
+        require("service", self.service >= 0.0 && self.service <= self.ttl, "must be 0 to ttl")?;
+        require("slots", self.slots > 0, "must be above 0")?;
+        require("holds", self.holds > 0, "must be above 0")?;
         let outage = &self.outage;
-        at("outage.part", (0.0..=1.0).contains(&outage.part), "must be 0 to 1")?;
-        at("outage.from", outage.from >= 0.0, "must be 0 or more")?;
-        at("outage.lasts", outage.lasts >= 0.0, "must be 0 or more")?;
-        at("outage.does", !outage.does.is_empty(), "names nothing")
+        require("outage.part", (0.0..=1.0).contains(&outage.part), "must be 0 to 1")?;
+        require("outage.from", outage.from >= 0.0, "must be 0 or more")?;
+        require("outage.lasts", outage.lasts >= 0.0, "must be 0 or more")?;
+        require("outage.does", !outage.does.is_empty(), "names nothing")
     }
 
-    /// Calls a second that a destination takes.
-    fn takes(&self) -> f64 {
+    /// Calls per second that a destination can take.
+    fn calls_per_sec(&self) -> f64 {
         self.rate / f64::from(self.destinations) * self.headroom
     }
 
-    /// The destinations that go out, spread over all.
-    fn down(&self) -> Vec<(u32, Down)> {
+    /// The destinations that have the outage, spread evenly over all, and how they answer meanwhile.
+    fn destinations_down(&self) -> Vec<(u32, OutageBehaviour)> {
         let count = (f64::from(self.destinations) * self.outage.part).round() as u32;
         let step = self.destinations.checked_div(count).unwrap_or(1);
-        (0..count).map(|n| (n * step, self.outage.does[n as usize % self.outage.does.len()])).collect()
+        (0..count)
+            .map(|index| (index * step, self.outage.does[index as usize % self.outage.does.len()]))
+            .collect()
     }
 }
 
-/// Plays the day and prints what came of it; an error where a rule is broken.
-pub fn run(options: &Options, stop: &Stop) -> Result<(), Error> {
-    play(&options.program, &Day::read(&options.file)?, stop)
+/// Runs the load profile of a file and prints the results. Returns an error if a rule was broken.
+pub fn run(options: &Options, stop: &StopFlag) -> Result<(), Error> {
+    run_profile(&options.program, &LoadProfile::read(&options.file)?, stop)
 }
 
-/// Plays a day.
-pub fn play(program: &Path, day: &Day, stop: &Stop) -> Result<(), Error> {
+/// Runs a load profile and prints the results. Returns an error if a rule was broken.
+pub fn run_profile(program: &Path, profile: &LoadProfile, stop: &StopFlag) -> Result<(), Error> {
     let guard = Guard::start(Limits::default(), stop)?;
-    let ttl = Duration::from_secs_f64(day.ttl);
-    let plan = Plan {
-        senders: day.senders,
-        hollow: day.hollow,
-        rate: day.takes(),
-        rates_listed: day.rates_listed,
-        behaviour: Behaviour::Serve(Duration::from_secs_f64(day.service)),
-        slots: day.slots,
+    let ttl = Duration::from_secs_f64(profile.ttl);
+    let plan = FleetPlan {
+        sender_count: profile.senders,
+        hollow_count: profile.hollow,
+        calls_per_sec: profile.calls_per_sec(),
+        rates_listed: profile.rates_listed,
+        behaviour: Behaviour::Serve(Duration::from_secs_f64(profile.service)),
+        slots: profile.slots,
         ttl,
-        ..Plan::one(program.to_owned(), day.destinations, day.holds)
+        ..FleetPlan::single_sender(program.to_owned(), profile.destinations, profile.holds)
     };
-    let (fleet, ready) = Fleet::start(&plan, &guard)?;
-    let slowest = ready.iter().max().map_or(0.0, Duration::as_secs_f64);
+    let (fleet, ready_after) = Fleet::start(&plan, &guard)?;
+    let slowest_secs = ready_after.iter().max().map_or(0.0, Duration::as_secs_f64);
     println!(
-        "{} senders with {} destinations: ready after {slowest:.3} s at most",
-        day.senders, day.destinations
+        "{} senders with {} destinations: ready after {slowest_secs:.3} s at most",
+        profile.senders, profile.destinations
     );
-    let began = Instant::now();
-    let rate = day.rate / fleet.listen.len() as f64;
-    let tasks = fleet
-        .listen
-        .iter()
-        .enumerate()
-        .flat_map(|(me, at)| steady(*at, me as u16, day.destinations, day.clients, rate, ttl));
-    let load = Load::start(tasks.collect(), &fleet.record, stop)?;
-    let bar = progress(day.seconds as u64, "day");
-    let sleep_until = |seconds: f64| {
-        let until = began + Duration::from_secs_f64(seconds.min(day.seconds));
-        while Instant::now() < until && !stop.is_set() {
-            bar.set_position(began.elapsed().as_secs());
-            stop.sleep_until(until.min(Instant::now() + Duration::from_secs(1)));
+    let began_at = Instant::now();
+    let webhooks_per_sec = profile.rate / fleet.listen_addresses.len() as f64;
+    let tasks = fleet.listen_addresses.iter().enumerate().flat_map(|(sender, address)| {
+        steady_tasks(*address, sender as u16, profile.destinations, profile.clients, webhooks_per_sec, ttl)
+    });
+    let load = Load::start(tasks.collect(), &fleet.judge, stop)?;
+    let bar = progress_bar(profile.seconds as u64, "day");
+    let sleep_until = |load_secs: f64| {
+        let wake_at = began_at + Duration::from_secs_f64(load_secs.min(profile.seconds));
+        while Instant::now() < wake_at && !stop.is_set() {
+            bar.set_position(began_at.elapsed().as_secs());
+            stop.sleep_until(wake_at.min(Instant::now() + Duration::from_secs(1)));
         }
     };
-    let (down, takes) = (day.down(), day.takes());
-    sleep_until(day.outage.from);
-    let begins = down.clone();
-    fleet.receivers(move |receivers, _| {
-        begins.iter().for_each(|(dest, does)| receivers.begin_outage(*dest, (*does).into(), takes));
+    let (destinations_down, calls_per_sec) = (profile.destinations_down(), profile.calls_per_sec());
+    sleep_until(profile.outage.from);
+    let beginning = destinations_down.clone();
+    fleet.with_receivers(move |receivers, _| {
+        beginning.iter().for_each(|(destination, behaviour)| {
+            receivers.begin_outage(*destination, (*behaviour).into(), calls_per_sec)
+        });
     })?;
-    sleep_until(day.outage.from + day.outage.lasts);
-    let ends = down.clone();
-    fleet.receivers(move |receivers, _| ends.iter().for_each(|(dest, _)| receivers.end_outage(*dest)))?;
-    sleep_until(day.seconds);
+    sleep_until(profile.outage.from + profile.outage.lasts);
+    let ending = destinations_down.clone();
+    fleet.with_receivers(move |receivers, _| {
+        ending.iter().for_each(|(destination, _)| receivers.end_outage(*destination))
+    })?;
+    sleep_until(profile.seconds);
     bar.finish_and_clear();
     let answers = load.finish()?;
-    let took = began.elapsed().as_secs_f64();
+    let took_secs = began_at.elapsed().as_secs_f64();
     println!(
         "{} destinations were down; {:.0} webhooks a second were handed in",
-        down.len(),
-        answers.total() as f64 / took
+        destinations_down.len(),
+        answers.total() as f64 / took_secs
     );
-    fleet.wait(ttl + MARGIN, |fleet| Ok(fleet.open() == 0))?;
-    tell_use(&fleet, took);
-    verdict(&answers, &fleet.verdict())
+    fleet.wait_until(ttl + FINAL_ANSWER_MARGIN, |fleet| Ok(fleet.pending_count() == 0))?;
+    print_usage(&fleet, took_secs);
+    print_verdict(&answers, &fleet.verdict())
 }
 
-/// Prints what the senders used. Where they waited for a processor longer than they ran, the machine was too busy for
-/// times to say much of the program.
-fn tell_use(fleet: &Fleet, seconds: f64) {
+/// Prints what the senders used. If they waited for a processor longer than they ran, the machine was too busy, and the
+/// measured times say little about the program.
+fn print_usage(fleet: &Fleet, took_secs: f64) {
     let mib = |bytes: u64| bytes as f64 / f64::from(1 << 20);
-    let peaks: Vec<u64> = fleet.senders.iter().map(|sender| sender.memory().peak).collect();
-    let times: Vec<ProcessorTime> = fleet.senders.iter().map(|sender| sender.processor()).collect();
-    let percent = |sum: f64| sum / times.len() as f64 / seconds * 100.0;
-    let most = fleet.guard.most();
+    let peak_bytes: Vec<u64> = fleet.senders.iter().map(|sender| sender.memory().peak_bytes).collect();
+    let cpu_times: Vec<CpuTime> = fleet.senders.iter().map(|sender| sender.cpu_time()).collect();
+    let percent = |total_secs: f64| total_secs / cpu_times.len() as f64 / took_secs * 100.0;
+    let peak_usage = fleet.guard.peak_usage();
     println!(
         "a sender: {:.1} MiB at the peak at most; it ran {:.1}% of the time and waited {:.1}% for a processor",
-        mib(peaks.into_iter().max().unwrap_or(0)),
-        percent(times.iter().map(|time| time.ran).sum()),
-        percent(times.iter().map(|time| time.waited).sum())
+        mib(peak_bytes.into_iter().max().unwrap_or(0)),
+        percent(cpu_times.iter().map(|cpu_time| cpu_time.running_secs).sum()),
+        percent(cpu_times.iter().map(|cpu_time| cpu_time.waiting_secs).sum())
     );
-    println!("the run: {:.0} MiB, {} processes", mib(most.memory), most.processes);
+    println!("the run: {:.0} MiB, {} processes", mib(peak_usage.memory_bytes), peak_usage.processes);
 }
--- a/crates/scale/src/verbs/load.rs
+++ b/crates/scale/src/verbs/load.rs
@@ -1,7 +1,7 @@
-//! Load on senders from clients in threads: a backlog filled as fast as it is taken on, or a steady rate.
+//! Clients that put load on senders, each in a thread of its own: as fast as the sender answers, or at a steady rate.
 
 use crate::error::Error;
-use crate::interrupt::Stop;
+use crate::interrupt::StopFlag;
 use crate::standins::clients::{AnswerStats, Client, HandInResult};
 use crate::standins::id::{EventType, WebhookId};
 use crate::standins::receivers::SharedJudge;
@@ -9,102 +9,109 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Bytes of a webhook's body.
-pub const BODY: usize = 212;
-/// A client that is turned away, or hears nothing, rests so long.
-const PAUSE: Duration = Duration::from_millis(20);
+/// The size of a webhook's body.
+pub const BODY_BYTES: usize = 212;
+/// The pause of a client whose webhook was not accepted.
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 /// What one client does.
 #[derive(Debug, Clone)]
-pub struct Task {
-    pub to: SocketAddr,
+pub struct ClientTask {
+    /// Where the sender listens.
+    pub sender_address: SocketAddr,
+    /// The number of the sender.
     pub sender: u16,
-    /// The destinations that it hands webhooks in for, in turn. No other client of that sender has the same.
+    /// The destinations that it hands webhooks in for, in index. No other client of that sender has the same.
     pub destinations: Vec<u32>,
-    /// Event types, in turn.
+    /// The event types of its webhooks, in index.
     pub event_types: Vec<EventType>,
+    /// The TTL of its webhooks.
     pub ttl: Duration,
     /// The number of its first webhook.
-    pub first: u32,
-    /// Webhooks taken on after which it ends.
-    pub count: u64,
-    /// A second; without bound it goes as fast as it is answered.
-    pub rate: f64,
+    pub first_number: u32,
+    /// The client ends when this many webhooks were accepted.
+    pub max_accepted: u64,
+    /// The rate at which it hands webhooks in. If infinite, the next one follows as soon as the last is answered.
+    pub webhooks_per_sec: f64,
 }
 
-/// Clients at work, each in a thread of its own.
+/// Running clients, each in a thread of its own.
 pub struct Load {
     clients: Vec<JoinHandle<AnswerStats>>,
-    stop: Stop,
+    stop: StopFlag,
 }
 
 impl Load {
-    /// Starts clients. They end by themselves, at `finish`, or at the run's stop.
-    pub fn start(tasks: Vec<Task>, record: &SharedJudge, run: &Stop) -> Result<Load, Error> {
-        let stop = Stop::default();
+    /// Starts clients. They end when their task is done, at `finish`, or when `run_stop` is set.
+    pub fn start(tasks: Vec<ClientTask>, judge: &SharedJudge, run_stop: &StopFlag) -> Result<Load, Error> {
+        let stop = StopFlag::default();
         let mut clients = Vec::new();
         for task in tasks {
-            let client = Client::new(task.to, record.clone(), BODY);
-            let stops = [stop.clone(), run.clone()];
+            let client = Client::new(task.sender_address, judge.clone(), BODY_BYTES);
+            let stops = [stop.clone(), run_stop.clone()];
             let thread = std::thread::Builder::new().name("client".into());
-            clients.push(thread.spawn(move || work(&task, client, &stops))?);
+            clients.push(thread.spawn(move || run_client(&task, client, &stops))?);
         }
         Ok(Load { clients, stop })
     }
 
-    /// Waits until all have done their count.
+    /// Waits until all clients have done their tasks. Returns the answers that they got.
     pub fn join(self) -> Result<AnswerStats, Error> {
-        let mut all = AnswerStats::default();
+        let mut total = AnswerStats::default();
         for client in self.clients {
-            let answers = client.join().map_err(|_| Error::Failed("a client failed".into()))?;
-            all.merge(&answers);
+            let answers = client.join().map_err(|_| Error::Failed("a client panicked".into()))?;
+            total.merge(&answers);
         }
-        Ok(all)
+        Ok(total)
     }
 
-    /// Ends all and returns what they heard.
+    /// Stops all clients. Returns the answers that they got.
     pub fn finish(self) -> Result<AnswerStats, Error> {
         self.stop.set();
         self.join()
     }
 }
 
-fn work(task: &Task, mut client: Client, stops: &[Stop; 2]) -> AnswerStats {
-    let began = Instant::now();
-    let mut number = task.first;
-    let mut turn = 0;
-    while client.answers.accepted < task.count && !stops.iter().any(Stop::is_set) {
-        if task.rate.is_finite() {
-            let due = began + Duration::from_secs_f64(turn as f64 / task.rate);
-            stops[0].sleep_until(due);
+/// Runs one client until its task is done or one of the flags is set.
+fn run_client(task: &ClientTask, mut client: Client, stops: &[StopFlag; 2]) -> AnswerStats {
+    let began_at = Instant::now();
+    let mut number = task.first_number;
+    let mut index = 0;
+    while client.answers.accepted < task.max_accepted && !stops.iter().any(StopFlag::is_set) {
+        if task.webhooks_per_sec.is_finite() {
+            let due_at = began_at + Duration::from_secs_f64(index as f64 / task.webhooks_per_sec);
+            stops[0].sleep_until(due_at);
         }
-        let destination = task.destinations[turn % task.destinations.len()];
-        // Each destination gets all event types.
-        let event_type = task.event_types[(turn / task.destinations.len()) % task.event_types.len()];
+        let destination = task.destinations[index % task.destinations.len()];
+        // All destinations get one event type before the next event type follows.
+        let event_type = task.event_types[(index / task.destinations.len()) % task.event_types.len()];
         let id = WebhookId { sender: task.sender, destination, number, event_type };
         number += 1;
-        turn += 1;
+        index += 1;
         if client.hand_in(id, task.ttl) != HandInResult::Accepted {
-            stops[0].sleep(PAUSE);
+            stops[0].sleep(RETRY_PAUSE);
         }
     }
     client.answers
 }
 
-/// Clients for a sender, so many side by side, that share `rate` webhooks a second and all destinations between them.
-pub fn steady(
-    to: SocketAddr, sender: u16, destinations: u32, clients: u32, rate: f64, ttl: Duration,
-) -> Vec<Task> {
-    let share = |own: u32| (0..destinations).filter(|dest| dest % clients == own).collect();
-    let task = |own: u32| Task {
-        to,
+/// Tasks for clients of one sender that share the rate and the destinations among them.
+pub fn steady_tasks(
+    sender_address: SocketAddr, sender: u16, destination_count: u32, client_count: u32,
+    webhooks_per_sec: f64, ttl: Duration,
+) -> Vec<ClientTask> {
+    let destinations_of = |client: u32| {
+        (0..destination_count).filter(|destination| destination % client_count == client).collect()
+    };
+    let task = |client: u32| ClientTask {
+        sender_address,
         sender,
-        destinations: share(own),
+        destinations: destinations_of(client),
         event_types: EventType::ALL.to_vec(),
         ttl,
-        first: 0,
-        count: u64::MAX,
-        rate: rate / f64::from(clients),
+        first_number: 0,
+        max_accepted: u64::MAX,
+        webhooks_per_sec: webhooks_per_sec / f64::from(client_count),
     };
-    (0..clients.min(destinations)).map(task).collect()
+    (0..client_count.min(destination_count)).map(task).collect()
 }
--- a/crates/scale/src/verbs/mod.rs
+++ b/crates/scale/src/verbs/mod.rs
@@ -1,4 +1,4 @@
-//! The verbs of the command line, one module each.
+//! The verbs of the command line, and what they share.
 
 pub mod changes;
 pub mod day;
--- a/crates/scale/src/verbs/slope/senders.rs
+++ b/crates/scale/src/verbs/slope/senders.rs
@@ -1,151 +1,175 @@
-//! What a sender costs the others: tries of a destination that is down, which each sender that holds webhooks for it
-//! makes by itself, and calls for the list.
+//! Measures what each sender costs the other parties: calls to a destination in an outage, as every sender with webhooks for
+//! it tries on its own, and calls to the list service.
 
-use super::{Measured, Quantity, SharedGuard};
+use super::{Measurement, Quantity, SharedGuard};
 use crate::error::Error;
-use crate::fleet::{Fleet, Plan, judged};
+use crate::fleet::{Fleet, FleetPlan, check_verdict};
 use crate::standins::id::EventType;
 use crate::standins::receivers::Behaviour;
-use crate::verbs::load::{Load, Task};
+use crate::verbs::load::{ClientTask, Load};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Counts where none are told.
-pub const POINTS: &[u64] = &[1, 5, 10, 20, 40];
-/// Senders beyond these are hollow.
-pub const MOST_REAL: usize = 40;
-const DESTINATIONS: u32 = 20;
-/// The destination that is down.
-const DOWN: u32 = 0;
-/// Calls a second that the list tells for each destination, where it tells them.
-const RATE: f64 = 20.0;
-/// Webhooks for it that each sender holds.
-const HELD: u64 = 5;
+/// Senders to measure at by default.
+pub const DEFAULT_POINTS: &[u64] = &[1, 5, 10, 20, 40];
+/// The most real senders of a run; those beyond are hollow.
+pub const MAX_REAL_SENDERS: usize = 40;
+/// Destinations in the endpoint list.
+const DESTINATION_COUNT: u32 = 20;
+/// The destination that has an outage.
+const OUTAGE_DESTINATION: u32 = 0;
+/// The rate that the list names for each destination, if it names rates.
+const CALLS_PER_SEC: f64 = 20.0;
+/// Webhooks for the destination in outage that each sender accepts.
+const PENDING_WEBHOOKS: u64 = 5;
+/// Longer than any measurement, so that no webhook expires meanwhile.
 const TTL: Duration = Duration::from_secs(3600);
-/// How long each variant is played.
+
+/// How long each variant runs.
 #[derive(Debug, Clone, Copy)]
 pub struct Spans {
-    /// From the first tries on, before they are counted: a sender tries less often the longer a destination is down.
+    /// Before calls are counted: the longer a destination is down, the less often a sender tries it.
     pub settle: Duration,
-    pub counted: Duration,
+    /// While calls are counted.
+    pub measure: Duration,
 }
 
-/// Long enough that a try in some ten seconds is seen.
-pub const SPANS: Spans = Spans { settle: Duration::from_secs(20), counted: Duration::from_secs(30) };
+/// Long enough to count calls that a sender makes only every ten seconds.
+pub const DEFAULT_SPANS: Spans = Spans { settle: Duration::from_secs(20), measure: Duration::from_secs(30) };
 
-/// How lists and rates come to the senders.
+/// One way in which senders get the list and the rates, with the quantities to measure.
 #[derive(Clone, Copy)]
 struct Variant {
     rates_listed: bool,
-    asks: bool,
-    tries: Quantity,
-    calls: Quantity,
-    bytes: Quantity,
+    pulls_list: bool,
+    /// Calls to the destination in outage.
+    destination_calls: Quantity,
+    /// Calls for the list.
+    list_calls: Quantity,
+    /// Bytes of the answers to them.
+    list_bytes: Quantity,
 }
 
 const VARIANTS: [Variant; 3] = [
     Variant {
         rates_listed: true,
-        asks: false,
-        tries: tries("senders.down_tries_per_second", "tries at a destination that is down, rates listed"),
-        calls: calls("senders.list_calls_per_second", "list calls, lists pushed"),
-        bytes: bytes("senders.list_bytes_per_second", "bytes of list answers, lists pushed"),
+        pulls_list: false,
+        destination_calls: destination_calls(
+            "senders.down_tries_per_second",
+            "tries at a destination that is down, rates listed",
+        ),
+        list_calls: list_calls("senders.list_calls_per_second", "list calls, lists pushed"),
+        list_bytes: list_bytes("senders.list_bytes_per_second", "bytes of list answers, lists pushed"),
     },
     Variant {
         rates_listed: false,
-        asks: false,
-        tries: tries(
+        pulls_list: false,
+        destination_calls: destination_calls(
             "senders.down_tries_unlisted_per_second",
             "tries at a destination that is down, no rates",
         ),
-        calls: calls("senders.unlisted_list_calls_per_second", "list calls, lists pushed, no rates"),
-        bytes: bytes(
+        list_calls: list_calls(
+            "senders.unlisted_list_calls_per_second",
+            "list calls, lists pushed, no rates",
+        ),
+        list_bytes: list_bytes(
             "senders.unlisted_list_bytes_per_second",
             "bytes of list answers, lists pushed, no rates",
         ),
     },
     Variant {
         rates_listed: true,
-        asks: true,
-        tries: tries(
+        pulls_list: true,
+        destination_calls: destination_calls(
             "senders.asking_down_tries_per_second",
             "tries at a destination that is down, lists asked for",
         ),
-        calls: calls("senders.asking_list_calls_per_second", "list calls, lists asked for"),
-        bytes: bytes("senders.asking_list_bytes_per_second", "bytes of list answers, lists asked for"),
+        list_calls: list_calls("senders.asking_list_calls_per_second", "list calls, lists asked for"),
+        list_bytes: list_bytes(
+            "senders.asking_list_bytes_per_second",
+            "bytes of list answers, lists asked for",
+        ),
     },
 ];
 
-const fn tries(id: &'static str, name: &'static str) -> Quantity {
+const fn destination_calls(id: &'static str, name: &'static str) -> Quantity {
     Quantity { id, role: "receiver", name, unit: "1/s" }
 }
 
-const fn calls(id: &'static str, name: &'static str) -> Quantity {
+const fn list_calls(id: &'static str, name: &'static str) -> Quantity {
     Quantity { id, role: "list", name, unit: "1/s" }
 }
 
-const fn bytes(id: &'static str, name: &'static str) -> Quantity {
+const fn list_bytes(id: &'static str, name: &'static str) -> Quantity {
     Quantity { id, role: "list", name, unit: "B/s" }
 }
 
-/// All quantities with so many senders.
+/// Measures all quantities of all variants with `count` senders.
 pub fn measure(
     program: &Path, count: u64, spans: Spans, guard: &SharedGuard,
-) -> Result<Vec<Measured>, Error> {
-    let mut all = Vec::new();
+) -> Result<Vec<Measurement>, Error> {
+    let mut measurements = Vec::new();
     for variant in &VARIANTS {
-        all.extend(measure_variant(program, count as usize, variant, spans, guard)?);
+        measurements.extend(measure_variant(program, count as usize, variant, spans, guard)?);
     }
-    Ok(all)
+    Ok(measurements)
 }
 
+/// Measures the quantities of one variant.
 fn measure_variant(
-    program: &Path, senders: usize, variant: &Variant, spans: Spans, guard: &SharedGuard,
-) -> Result<Vec<Measured>, Error> {
-    let plan = Plan {
-        senders: senders.min(MOST_REAL),
-        hollow: senders.saturating_sub(MOST_REAL),
-        rate: RATE,
+    program: &Path, sender_count: usize, variant: &Variant, spans: Spans, guard: &SharedGuard,
+) -> Result<Vec<Measurement>, Error> {
+    let plan = FleetPlan {
+        sender_count: sender_count.min(MAX_REAL_SENDERS),
+        hollow_count: sender_count.saturating_sub(MAX_REAL_SENDERS),
+        calls_per_sec: CALLS_PER_SEC,
         rates_listed: variant.rates_listed,
-        asks: variant.asks,
+        pulls_list: variant.pulls_list,
         behaviour: Behaviour::Serve(Duration::ZERO),
-        ..Plan::one(program.to_owned(), DESTINATIONS, 300)
+        ..FleetPlan::single_sender(program.to_owned(), DESTINATION_COUNT, 300)
     };
     let (fleet, _) = Fleet::start(&plan, guard)?;
-    fleet.receivers(|receivers, _| receivers.begin_outage(DOWN, Behaviour::Fail, RATE))?;
-    hold(&fleet)?;
-    guard.stop().sleep(spans.settle);
-    let before = seen(&fleet)?;
-    let began = Instant::now();
-    guard.stop().sleep(spans.counted);
-    let (after, took) = (seen(&fleet)?, began.elapsed().as_secs_f64());
+    fleet.with_receivers(|receivers, _| {
+        receivers.begin_outage(OUTAGE_DESTINATION, Behaviour::Fail, CALLS_PER_SEC)
+    })?;
+    hand_in_for_outage(&fleet)?;
+    guard.stop_flag().sleep(spans.settle);
+    let before = count_calls(&fleet)?;
+    let began_at = Instant::now();
+    guard.stop_flag().sleep(spans.measure);
+    let (after, took_secs) = (count_calls(&fleet)?, began_at.elapsed().as_secs_f64());
     guard.check()?;
-    judged(&fleet.verdict())?;
-    let quantities = [variant.tries, variant.calls, variant.bytes];
-    let rates = before.iter().zip(after).map(|(before, after)| (after - before) as f64 / took);
-    Ok(quantities.into_iter().zip(rates).map(|(quantity, value)| Measured { quantity, value }).collect())
+    check_verdict(&fleet.verdict())?;
+    let quantities = [variant.destination_calls, variant.list_calls, variant.list_bytes];
+    let rates = before.iter().zip(after).map(|(before, after)| (after - before) as f64 / took_secs);
+    Ok(quantities.into_iter().zip(rates).map(|(quantity, value)| Measurement { quantity, value }).collect())
 }
 
-/// Each sender takes on some webhooks for the destination that is down.
-fn hold(fleet: &Fleet) -> Result<(), Error> {
-    let tasks = fleet.listen.iter().enumerate().map(|(sender, at)| Task {
-        to: *at,
+/// Hands in some webhooks for the destination in outage to each sender.
+fn hand_in_for_outage(fleet: &Fleet) -> Result<(), Error> {
+    let tasks = fleet.listen_addresses.iter().enumerate().map(|(sender, address)| ClientTask {
+        sender_address: *address,
         sender: sender as u16,
-        destinations: vec![DOWN],
+        destinations: vec![OUTAGE_DESTINATION],
         event_types: vec![EventType::Idempotent],
         ttl: TTL,
-        first: 0,
-        count: HELD,
-        rate: f64::INFINITY,
+        first_number: 0,
+        max_accepted: PENDING_WEBHOOKS,
+        webhooks_per_sec: f64::INFINITY,
     });
-    let answers = Load::start(tasks.collect(), &fleet.record, fleet.guard.stop())?.join()?;
-    tracing::info!(held = answers.accepted, refused = answers.refused, "held for a destination that is down");
+    let answers = Load::start(tasks.collect(), &fleet.judge, fleet.guard.stop_flag())?.join()?;
+    tracing::info!(
+        held = answers.accepted,
+        refused = answers.refused,
+        "webhooks for the destination in outage are pending"
+    );
     Ok(())
 }
 
-/// Calls to the destination, list calls and bytes so far.
-fn seen(fleet: &Fleet) -> Result<[u64; 3], Error> {
-    let calls = fleet.receivers(|receivers, _| receivers.call_count_to(DOWN))?;
-    let total = fleet.list(|list, _| list.total_traffic())?;
-    Ok([calls, total.list_calls, total.list_bytes])
+/// Calls to the destination in outage, list calls, and bytes of list answers so far.
+fn count_calls(fleet: &Fleet) -> Result<[u64; 3], Error> {
+    let destination_calls =
+        fleet.with_receivers(|receivers, _| receivers.call_count_to(OUTAGE_DESTINATION))?;
+    let traffic = fleet.with_list_service(|list, _| list.total_traffic())?;
+    Ok([destination_calls, traffic.list_calls, traffic.list_bytes])
 }
--- a/crates/scale/tests/guard.rs
+++ b/crates/scale/tests/guard.rs
@@ -1,14 +1,14 @@
-//! The limits that a run keeps by itself.
+//! The limits on the memory and the processes of a run.
 
 use scalebarrow_scale::guard::{Guard, Limits, Usage};
-use scalebarrow_scale::interrupt::Stop;
+use scalebarrow_scale::interrupt::StopFlag;
 use std::process::Command;
 use std::time::{Duration, Instant};
 
 #[test]
-fn limits_admit_what_fits() {
-    let limits = Limits { memory: 1000, processes: 3 };
-    for (memory, processes, added, fits) in [
+fn limits_admit_only_what_keeps_them() {
+    let limits = Limits { memory_bytes: 1000, processes: 3 };
+    for (memory_bytes, processes, added_bytes, keeps_limits) in [
         (0, 1, 0, true),
         (900, 2, 100, true),
         (900, 2, 101, false),
@@ -16,42 +16,41 @@
         (0, 3, 0, false),
         (u64::MAX, 1, 1, false),
     ] {
-        let now = Usage { memory, processes };
-        let admitted = limits.admit(now, Usage { memory: added, processes: 1 });
-        assert_eq!(admitted.is_ok(), fits, "{now:?} and {added}");
+        let current = Usage { memory_bytes, processes };
+        let admitted = limits.admit(current, Usage { memory_bytes: added_bytes, processes: 1 });
+        assert_eq!(admitted.is_ok(), keeps_limits, "{current:?} and {added_bytes}");
     }
-    assert_eq!(Limits::default(), Limits { memory: 12 << 30, processes: 200 });
+    assert_eq!(Limits::default(), Limits { memory_bytes: 12 << 30, processes: 200 });
 }
 
-/// A run that passes its memory is told to stop, and why.
 #[test]
-fn a_run_over_its_memory_is_stopped() {
-    let stop = Stop::default();
-    let guard = Guard::start(Limits { memory: 4096, processes: 3 }, &stop).unwrap();
-    let began = Instant::now();
+fn a_run_that_exceeds_its_memory_is_stopped_and_the_reason_named() {
+    let stop = StopFlag::default();
+    let guard = Guard::start(Limits { memory_bytes: 4096, processes: 3 }, &stop).unwrap();
+    let began_at = Instant::now();
     while !stop.is_set() {
-        assert!(began.elapsed() < Duration::from_secs(10), "it is not stopped");
+        assert!(began_at.elapsed() < Duration::from_secs(10), "the run was not stopped");
         std::thread::sleep(Duration::from_millis(5));
     }
-    let why = guard.check().unwrap_err().to_string();
-    assert!(why.starts_with("memory: "), "{why}");
+    let reason = guard.check().unwrap_err().to_string();
+    assert!(reason.starts_with("memory: "), "{reason}");
     assert!(guard.admit(0).is_err());
 }
 
 #[test]
-fn children_count_until_they_are_waited_for() {
-    let guard = Guard::start(Limits { memory: 1 << 34, processes: 3 }, &Stop::default()).unwrap();
+fn child_processes_count_until_they_are_waited_for() {
+    let guard = Guard::start(Limits { memory_bytes: 1 << 34, processes: 3 }, &StopFlag::default()).unwrap();
     let mut children: Vec<_> = (0..2).map(|_| Command::new("sleep").arg("30").spawn().unwrap()).collect();
     for child in &children {
         guard.admit(0).unwrap();
-        guard.add(child.id());
+        guard.add_child(child.id());
     }
-    let why = guard.admit(0).unwrap_err().to_string();
-    assert_eq!(why, "processes: 4 of 3 allowed");
+    let reason = guard.admit(0).unwrap_err().to_string();
+    assert_eq!(reason, "processes: 4 of 3 allowed");
     for child in &mut children {
         child.kill().unwrap();
         child.wait().unwrap();
-        guard.remove(child.id());
+        guard.remove_child(child.id());
     }
     guard.admit(0).unwrap();
     guard.check().unwrap();
--- a/crates/scale/tests/program.rs
+++ b/crates/scale/tests/program.rs
@@ -1,17 +1,17 @@
-//! The command line: help, and bad input.
+//! The command line: help, and errors for bad input.
 
-use scalebarrow_scale::verbs::day::Day;
+use scalebarrow_scale::verbs::day::LoadProfile;
 use std::process::{Command, Output};
 
-const TENTH: &str = include_str!("../../../experiments/scale/tenth.toml");
-const FLEET: &str = include_str!("../../../experiments/scale/fleet.toml");
+const TENTH_PROFILE: &str = include_str!("../../../experiments/scale/tenth.toml");
+const FLEET_PROFILE: &str = include_str!("../../../experiments/scale/fleet.toml");
 
 fn run(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_scalebarrow-scale")).args(args).output().unwrap()
 }
 
 #[test]
-fn help_names_all_verbs() {
+fn help_lists_all_verbs_except_hollow() {
     let output = run(&["--help"]);
     assert_eq!(output.status.code(), Some(0));
     let text = String::from_utf8(output.stdout).unwrap();
@@ -23,14 +23,14 @@
 }
 
 #[test]
-fn bad_input_is_named() {
-    let own = env!("CARGO_BIN_EXE_scalebarrow-scale");
+fn bad_input_ends_with_status_2_and_is_named() {
+    let existing_program = env!("CARGO_BIN_EXE_scalebarrow-scale");
     let cases: [(&[&str], &str); 11] = [
         (&["nothing"], "nothing"),
         (&["slope"], "COUNTED"),
         (&["slope", "stars"], "is none of destinations, held, senders"),
-        (&["slope", "held", "--points", "10,x", "--program", own], "--points 10,x"),
-        (&["slope", "held", "--points", "0", "--program", own], "--points 0"),
+        (&["slope", "held", "--points", "10,x", "--program", existing_program], "--points 10,x"),
+        (&["slope", "held", "--points", "0", "--program", existing_program], "--points 0"),
         (&["slope", "held", "--program", "/no/such"], "--program /no/such"),
         (&["restarts", "--senders", "0"], "1 to 40"),
         (&["restarts", "--program", "/no/such"], "--program /no/such"),
@@ -38,21 +38,21 @@
         (&["day"], "FILE"),
         (&["day", "/no/such.toml"], "/no/such.toml"),
     ];
-    for (args, named) in cases {
+    for (args, expected_text) in cases {
         let output = run(args);
         assert_eq!(output.status.code(), Some(2), "{args:?}");
         let text = String::from_utf8(output.stderr).unwrap();
-        assert!(text.contains(named), "{args:?}: {text}");
+        assert!(text.contains(expected_text), "{args:?}: {text}");
     }
 }
 
 #[test]
-fn days_are_checked_with_field_and_line() {
-    let day = Day::decode(TENTH).unwrap();
-    assert_eq!((day.senders, day.hollow, day.outage.does.len()), (20, 0, 4));
-    let fleet = Day::decode(FLEET).unwrap();
+fn errors_in_load_profiles_name_field_and_line() {
+    let tenth = LoadProfile::decode(TENTH_PROFILE).unwrap();
+    assert_eq!((tenth.senders, tenth.hollow, tenth.outage.does.len()), (20, 0, 4));
+    let fleet = LoadProfile::decode(FLEET_PROFILE).unwrap();
     assert_eq!((fleet.senders, fleet.hollow), (40, 520));
-    for (from, to, line, named) in [
+    for (from, to, line, expected_text) in [
         ("seconds = 60.0", "seconds = 0.0", 5, "seconds: must be above 0"),
         ("senders = 20", "senders = 41", 7, "senders: must be 1 to 40"),
         ("senders = 20", "senders = 40\nhollow = 521", 8, "hollow: must be 560 at most"),
@@ -64,8 +64,8 @@
         ("does = [\"fails\"", "does = [\"falls\"", 30, "unknown variant `falls`"),
         ("does = [\"fails\", \"refuses\", \"silent\", \"hangs-up\"]", "does = []", 30, "names nothing"),
     ] {
-        assert!(TENTH.contains(from), "{from}");
-        let why = Day::decode(&TENTH.replace(from, to)).unwrap_err();
-        assert!(why.contains(named) && why.contains(&format!("line {line}")), "{to}: {why}");
+        assert!(TENTH_PROFILE.contains(from), "{from}");
+        let error = LoadProfile::decode(&TENTH_PROFILE.replace(from, to)).unwrap_err();
+        assert!(error.contains(expected_text) && error.contains(&format!("line {line}")), "{to}: {error}");
     }
 }
--- a/crates/scale/tests/soak.rs
+++ b/crates/scale/tests/soak.rs
@@ -1,72 +1,90 @@
-//! What a seed of the soak draws, and what its command line takes.
+//! The plans that the soak generates from seeds, and its command line arguments.
 
-use scalebarrow_scale::soak::{Event, Kind, Plan, Seeds, draw};
+use scalebarrow_scale::soak::{Fault, FaultKind, Plan, Seeds, generate_plan};
 use std::collections::BTreeSet;
 
-const SECONDS: f64 = 20.0;
+const LOAD_SECS: f64 = 20.0;
 
 fn plans() -> impl Iterator<Item = Plan> {
-    (0..300).map(|seed| draw(seed, SECONDS, &[]))
+    (0..300).map(|seed| generate_plan(seed, LOAD_SECS, &[]))
 }
 
 #[test]
-fn a_seed_draws_the_same_run_each_time() {
+fn the_same_seed_gives_the_same_plan() {
     for seed in [1, 2, 77] {
-        assert_eq!(draw(seed, SECONDS, &[]), draw(seed, SECONDS, &[]));
+        assert_eq!(generate_plan(seed, LOAD_SECS, &[]), generate_plan(seed, LOAD_SECS, &[]));
     }
-    assert_ne!(draw(1, SECONDS, &[]).events, draw(2, SECONDS, &[]).events);
+    assert_ne!(generate_plan(1, LOAD_SECS, &[]).faults, generate_plan(2, LOAD_SECS, &[]).faults);
 }
 
 #[test]
-fn all_kinds_are_drawn_and_none_that_is_taken_out() {
-    let drawn: BTreeSet<Kind> = plans().flat_map(|plan| plan.events).map(|event| event.kind).collect();
-    assert_eq!(drawn.len(), Kind::ALL.len());
-    for (kind, name) in Kind::ALL {
+fn plans_contain_all_kinds_except_the_excluded_ones() {
+    let generated: BTreeSet<FaultKind> =
+        plans().flat_map(|plan| plan.faults).map(|fault| fault.kind).collect();
+    assert_eq!(generated.len(), FaultKind::ALL.len());
+    for (kind, name) in FaultKind::ALL {
         assert_eq!(name.parse(), Ok(kind));
-        let without = (0..50).flat_map(|seed| draw(seed, SECONDS, &[kind]).events);
-        assert!(without.map(|event| event.kind).all(|other| other != kind), "{name}");
+        let faults = (0..50).flat_map(|seed| generate_plan(seed, LOAD_SECS, &[kind]).faults);
+        assert!(faults.map(|fault| fault.kind).all(|other| other != kind), "{name}");
     }
 }
 
 #[test]
-fn what_would_make_a_verdict_uncertain_is_kept_apart() {
+fn faults_that_would_make_a_verdict_uncertain_are_kept_apart() {
     for plan in plans() {
-        let silent = |event: &&Event| event.kind == Kind::DiscoverySilent;
-        let drains = |event: &&Event| event.kind == Kind::Drain;
-        for silence in plan.events.iter().filter(silent) {
-            assert!(plan.events.iter().filter(drains).all(|drain| !drain.meets(silence, 6.0)), "{plan}");
+        let is_silence = |fault: &&Fault| fault.kind == FaultKind::DiscoverySilent;
+        let is_drain = |fault: &&Fault| fault.kind == FaultKind::Drain;
+        for silence in plan.faults.iter().filter(is_silence) {
+            assert!(plan.faults.iter().filter(is_drain).all(|drain| !drain.overlaps(silence, 6.0)), "{plan}");
         }
-        // An endpoint that drains is reached by a way on which nothing is held up.
-        let ways: BTreeSet<usize> =
-            plan.events.iter().filter(|event| event.kind.is_on_the_way()).map(|event| event.target).collect();
-        assert!(plan.events.iter().filter(drains).all(|drain| !ways.contains(&drain.target)), "{plan}");
-        // A crash lists its destination's endpoints as serving when it is over.
-        for crash in plan.events.iter().filter(|event| event.kind == Kind::Crash) {
-            let own = |drain: &&Event| drain.target / 2 == crash.target;
+        // The connections to an endpoint that drains have no faults.
+        let disturbed_endpoints: BTreeSet<usize> = plan
+            .faults
+            .iter()
+            .filter(|fault| fault.kind.is_connection_fault())
+            .map(|fault| fault.target)
+            .collect();
+        assert!(
+            plan.faults.iter().filter(is_drain).all(|drain| !disturbed_endpoints.contains(&drain.target)),
+            "{plan}"
+        );
+        // The end of a crash lists the destination's endpoints as serving.
+        for crash in plan.faults.iter().filter(|fault| fault.kind == FaultKind::Crash) {
+            let same_destination = |drain: &&Fault| drain.target / 2 == crash.target;
             assert!(
-                plan.events.iter().filter(drains).filter(own).all(|drain| !drain.meets(crash, 0.5)),
+                plan.faults
+                    .iter()
+                    .filter(is_drain)
+                    .filter(same_destination)
+                    .all(|drain| !drain.overlaps(crash, 0.5)),
                 "{plan}"
             );
         }
-        let ends = plan.events.iter().filter(|event| event.kind.ends_process());
-        assert!(ends.into_iter().all(|event| event.at > 0.5 && event.at < SECONDS), "{plan}");
+        let process_ends = plan.faults.iter().filter(|fault| fault.kind.ends_process());
+        assert!(
+            process_ends.into_iter().all(|fault| fault.start_secs > 0.5 && fault.start_secs < LOAD_SECS),
+            "{plan}"
+        );
     }
 }
 
 #[test]
-fn windows_and_times_to_live_are_as_far_apart_as_the_page_has_them() {
+fn ttls_and_repeat_windows_stay_in_their_ranges() {
     for plan in plans() {
         let settings = &plan.settings;
-        assert!((2.0..=12.0).contains(&settings.ttl) && (1.0..=8.0).contains(&settings.window), "{plan}");
+        assert!(
+            (2.0..=12.0).contains(&settings.ttl_secs) && (1.0..=8.0).contains(&settings.repeat_window_secs),
+            "{plan}"
+        );
     }
 }
 
 #[test]
-fn seeds_are_named_as_a_range_or_one() {
+fn seeds_are_parsed_as_a_range_or_a_single_seed() {
     assert_eq!("3..7".parse(), Ok(Seeds(3..7)));
     assert_eq!("5".parse(), Ok(Seeds(5..6)));
-    for bad in ["", "7..3", "3..3", "a..b", "-1"] {
-        assert!(bad.parse::<Seeds>().is_err(), "{bad}");
+    for invalid in ["", "7..3", "3..3", "a..b", "-1"] {
+        assert!(invalid.parse::<Seeds>().is_err(), "{invalid}");
     }
-    assert!("kills".parse::<Kind>().is_err());
+    assert!("kills".parse::<FaultKind>().is_err());
 }
