--- a/crates/fault-control/src/lib.rs
+++ b/crates/fault-control/src/lib.rs
@@ -1,48 +1,49 @@
-//! The file through which a test tells the fault shim in a process what to do. It is a row of 64-bit words that the shim
-//! maps into its memory and the test writes in place, so that a fault begins and ends while the process runs.
+//! The control file of the fault shim: a test writes it to tell the shim in a process under test which faults to inject.
+//! The file consists of 64-bit words. The shim maps it into its memory, so that faults can begin and end while the process
+//! runs.
 
 use std::fs::File;
 use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// The environment variable that names the file.
+/// The environment variable with the path of the control file.
 pub const CONTROL_FILE_VARIABLE: &str = "FAULT_SHIM_CONTROL";
-/// The environment variable that names the folder whose writes can be made to fail.
+/// The environment variable with the path of the state folder, the only one whose writes the shim can let fail.
 pub const STATE_FOLDER_VARIABLE: &str = "LB_STATE";
-/// Bytes of the file.
+/// The size of the control file.
 pub const CONTROL_FILE_BYTES: usize = ControlWord::ALL.len() * 8;
-/// Rates are parts of this.
+/// The rate of a fault that happens at every call. Lower rates are fractions of it.
 pub const FULL_RATE: u64 = 1_000_000;
 
-/// A word of the file, in order.
+/// A word of the control file. The value of a variant is the index of the word in the file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(usize)]
 pub enum ControlWord {
-    /// Nanoseconds by which the wall clock is ahead, as a signed number.
+    /// Nanoseconds by which the wall clock is ahead of the real one, as a signed number.
     WallStepNanos,
-    /// How often a read of the monotonic clock is followed by a hold-up.
+    /// The rate at which a read of the monotonic clock is followed by a pause of the calling thread.
     HoldUpRate,
-    /// The longest hold-up.
+    /// The longest such pause, in microseconds.
     HoldUpMicros,
-    /// How often a call on sockets fails.
+    /// The rate at which calls on sockets fail.
     SocketFailRate,
-    /// How often a read or write on sockets comes short.
+    /// The rate at which reads and writes on sockets transfer fewer bytes than requested.
     ShortRate,
-    /// What becomes of writes to the folder, as a [`FolderFault`].
+    /// How writes to the state folder fail, as a [`FolderFault`].
     FolderFault,
-    /// Chance in the process starts from this.
+    /// The seed of the shim's random numbers.
     Seed,
-    /// Hold-ups so far, counted by the shim.
+    /// Pauses after reads of the clock so far, counted by the shim.
     HoldUps,
-    /// Calls on sockets that failed or came short so far.
+    /// Calls on sockets that failed or were shortened so far, counted by the shim.
     SocketFaults,
-    /// Writes to the folder that failed so far.
+    /// Calls on the state folder that failed or were shortened so far, counted by the shim.
     FolderFaults,
 }
 
 impl ControlWord {
-    /// All words, in order.
+    /// All words, in the order of the file.
     pub const ALL: [ControlWord; 10] = [
         ControlWord::WallStepNanos,
         ControlWord::HoldUpRate,
@@ -57,25 +58,25 @@
     ];
 }
 
-/// What becomes of writes to the folder.
+/// How writes to the state folder fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[repr(u64)]
 pub enum FolderFault {
-    /// They go through.
+    /// They succeed.
     #[default]
     None,
-    /// Nothing is written: ENOSPC.
+    /// Nothing is written, and the call fails with ENOSPC.
     NoSpace,
-    /// Nothing is written: EIO.
+    /// Nothing is written, and the call fails with EIO.
     IoError,
-    /// Half is written, then ENOSPC.
+    /// Each call writes half of its bytes; a call for a single byte fails with ENOSPC.
     NoSpaceAfterHalf,
-    /// Half is written, then EIO.
+    /// Each call writes half of its bytes; a call for a single byte fails with EIO.
     IoErrorAfterHalf,
 }
 
 impl FolderFault {
-    /// All faults but none.
+    /// All variants except `None`.
     pub const FAULTS: [FolderFault; 4] = [
         FolderFault::NoSpace,
         FolderFault::IoError,
@@ -83,25 +84,25 @@
         FolderFault::IoErrorAfterHalf,
     ];
 
-    /// The fault that a word holds.
-    pub fn from_value(word: u64) -> FolderFault {
-        Self::FAULTS.into_iter().find(|fault| *fault as u64 == word).unwrap_or_default()
+    /// The fault with this value in the control file; `None` for an unknown value.
+    pub fn from_value(value: u64) -> FolderFault {
+        Self::FAULTS.into_iter().find(|fault| *fault as u64 == value).unwrap_or_default()
     }
 }
 
-/// The built shim beside a program of the same workspace, of the same build or else of the release build; an error names
-/// the command that builds it.
+/// Finds the built shim for a program of this workspace: the shim of the same build profile, or else of the release build.
+/// The error names the command that builds it.
 pub fn find_shim(program: &Path) -> io::Result<PathBuf> {
-    const NAME: &str = "libscalebarrow_fault_shim.so";
-    let target = program.ancestors().find(|folder| folder.ends_with("target"));
-    let same = program.with_file_name(NAME);
-    let release = target.map(|target| target.join("release").join(NAME));
-    let found = [Some(same), release].into_iter().flatten().find(|path| path.exists());
-    let missing = format!("{NAME} is not built: cargo build --release -p scalebarrow-fault-shim");
-    found.ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, missing))
+    const FILE_NAME: &str = "libscalebarrow_fault_shim.so";
+    let target_folder = program.ancestors().find(|folder| folder.ends_with("target"));
+    let same_profile = program.with_file_name(FILE_NAME);
+    let release = target_folder.map(|target_folder| target_folder.join("release").join(FILE_NAME));
+    let found = [Some(same_profile), release].into_iter().flatten().find(|path| path.exists());
+    let error_text = format!("{FILE_NAME} is not built: cargo build --release -p scalebarrow-fault-shim");
+    found.ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, error_text))
 }
 
-/// The test's side of the file.
+/// A control file, as the test uses it.
 #[derive(Debug)]
 pub struct ControlFile {
     path: PathBuf,
@@ -109,14 +110,14 @@
 }
 
 impl ControlFile {
-    /// A new file in which nothing fails.
+    /// Creates a file with all words 0, which injects no faults.
     pub fn create(path: &Path) -> io::Result<ControlFile> {
         let file = File::options().create(true).truncate(true).read(true).write(true).open(path)?;
         file.write_all_at(&[0; CONTROL_FILE_BYTES], 0)?;
         Ok(ControlFile { path: path.to_owned(), file })
     }
 
-    /// A file that was created before, as it is.
+    /// Opens a file that exists, and leaves its words as they are.
     pub fn open(path: &Path) -> io::Result<ControlFile> {
         let file = File::options().read(true).write(true).open(path)?;
         Ok(ControlFile { path: path.to_owned(), file })
@@ -127,7 +128,7 @@
         &self.path
     }
 
-    /// Sets a word. The process sees it with its next call.
+    /// Sets a word. It has effect on the next call of the process.
     pub fn set(&self, word: ControlWord, value: u64) -> io::Result<()> {
         self.file.write_all_at(&value.to_ne_bytes(), word as u64 * 8)
     }
@@ -139,8 +140,8 @@
         Ok(u64::from_ne_bytes(bytes))
     }
 
-    /// Sets how far the wall clock is ahead, in seconds; behind where it is negative.
-    pub fn set_wall_clock_offset(&self, seconds: f64) -> io::Result<()> {
-        self.set(ControlWord::WallStepNanos, ((seconds * 1e9) as i64).cast_unsigned())
+    /// Sets by how many seconds the wall clock is ahead, or behind if negative.
+    pub fn set_wall_clock_offset(&self, offset_secs: f64) -> io::Result<()> {
+        self.set(ControlWord::WallStepNanos, ((offset_secs * 1e9) as i64).cast_unsigned())
     }
 }
--- a/crates/fault-shim/src/files.rs
+++ b/crates/fault-shim/src/files.rs
@@ -1,4 +1,4 @@
-//! Files of the folder that lasts: writes, truncations, renames and the making of files can fail.
+//! Faults of the state folder: creating, writing, truncating, syncing and renaming its files can fail.
 
 use crate::control;
 use crate::real::{fail, real};
@@ -9,10 +9,12 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Descriptors above this are not told apart.
-const MOST_FILES: usize = 4096;
-static IN_FOLDER: [AtomicBool; MOST_FILES] = [const { AtomicBool::new(false) }; MOST_FILES];
-static FOLDER: OnceLock<Option<Vec<u8>>> = OnceLock::new();
+/// Descriptors from this number on are never marked as files of the state folder.
+const MAX_DESCRIPTORS: usize = 4096;
+/// Whether each descriptor is open on a file of the state folder.
+static IN_STATE_FOLDER: [AtomicBool; MAX_DESCRIPTORS] = [const { AtomicBool::new(false) }; MAX_DESCRIPTORS];
+/// The path of the state folder.
+static STATE_FOLDER: OnceLock<Option<Vec<u8>>> = OnceLock::new();
 
 type Open = unsafe extern "C" fn(*const c_char, c_int, mode_t) -> c_int;
 type Close = unsafe extern "C" fn(c_int) -> c_int;
@@ -21,133 +23,139 @@
 type Rename = unsafe extern "C" fn(*const c_char, *const c_char) -> c_int;
 type Sync = unsafe extern "C" fn(c_int) -> c_int;
 
-fn in_folder(path: *const c_char) -> bool {
-    let folder =
-        FOLDER.get_or_init(|| std::env::var_os(STATE_FOLDER_VARIABLE).map(|f| f.as_bytes().to_vec()));
-    // SAFETY: the caller handed a C string to a function that takes one.
+/// Whether a path is inside the state folder.
+fn is_in_state_folder(path: *const c_char) -> bool {
+    let folder = STATE_FOLDER
+        .get_or_init(|| std::env::var_os(STATE_FOLDER_VARIABLE).map(|path| path.as_bytes().to_vec()));
+    // SAFETY: the caller passed a C string, as the replaced function requires.
     let path = unsafe { CStr::from_ptr(path) }.to_bytes();
     folder.as_ref().is_some_and(|folder| path.starts_with(folder))
 }
 
-fn mark(file: c_int, marked: bool) {
-    if let Some(place) = usize::try_from(file).ok().and_then(|file| IN_FOLDER.get(file)) {
-        place.store(marked, Ordering::Relaxed);
+/// Records whether a descriptor is open on a file of the state folder.
+fn mark(descriptor: c_int, in_state_folder: bool) {
+    if let Some(marker) =
+        usize::try_from(descriptor).ok().and_then(|descriptor| IN_STATE_FOLDER.get(descriptor))
+    {
+        marker.store(in_state_folder, Ordering::Relaxed);
     }
 }
 
-fn is_marked(file: c_int) -> bool {
-    let place = usize::try_from(file).ok().and_then(|file| IN_FOLDER.get(file));
-    place.is_some_and(|place| place.load(Ordering::Relaxed))
+/// Whether a descriptor is open on a file of the state folder.
+fn is_marked(descriptor: c_int) -> bool {
+    let marker = usize::try_from(descriptor).ok().and_then(|descriptor| IN_STATE_FOLDER.get(descriptor));
+    marker.is_some_and(|marker| marker.load(Ordering::Relaxed))
 }
 
-/// What is wrong with the folder now, and the error that tells it.
-fn fault() -> Option<(FolderFault, c_int)> {
+/// The present fault of the state folder with its `errno`; `None` if there is no fault.
+fn current_fault() -> Option<(FolderFault, c_int)> {
     let fault = FolderFault::from_value(control::get(ControlWord::FolderFault));
-    let error = match fault {
+    let errno = match fault {
         FolderFault::None => return None,
         FolderFault::NoSpace | FolderFault::NoSpaceAfterHalf => libc::ENOSPC,
         FolderFault::IoError | FolderFault::IoErrorAfterHalf => libc::EIO,
     };
-    Some((fault, error))
+    Some((fault, errno))
 }
 
-fn failed(error: c_int) -> c_int {
-    control::count(ControlWord::FolderFaults);
-    fail(error)
+/// Fails the call with this `errno`, and counts it.
+fn fail_and_count(errno: c_int) -> c_int {
+    control::increment(ControlWord::FolderFaults);
+    fail(errno)
 }
 
-/// Stands before the C library's function.
+/// Replaces the function of the C library.
 ///
 /// # Safety
-/// As the C library's function: `path` has to be a C string.
+/// As for the C library's function: `path` must be a C string.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    let ours = in_folder(path);
-    if ours
+    let in_state_folder = is_in_state_folder(path);
+    if in_state_folder
         && flags & libc::O_CREAT != 0
-        && let Some((_, error)) = fault()
+        && let Some((_, errno)) = current_fault()
     {
-        return failed(error);
+        return fail_and_count(errno);
     }
-    let file = real!(open64(path, flags, mode) as Open);
-    mark(file, ours);
-    file
+    let descriptor = real!(open64(path, flags, mode) as Open);
+    mark(descriptor, in_state_folder);
+    descriptor
 }
 
-/// Stands before the C library's function.
+/// Replaces the function of the C library.
 ///
 /// # Safety
-/// As the C library's function.
+/// As for the C library's function.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn close(file: c_int) -> c_int {
-    mark(file, false);
-    real!(close(file) as Close)
+pub unsafe extern "C" fn close(descriptor: c_int) -> c_int {
+    mark(descriptor, false);
+    real!(close(descriptor) as Close)
 }
 
-/// Stands before the C library's function.
+/// Replaces the function of the C library.
 ///
 /// # Safety
-/// As the C library's function: `bytes` has to be valid for `count` bytes.
+/// As for the C library's function: `bytes` must be valid for `byte_count` bytes.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn write(file: c_int, bytes: *const c_void, count: size_t) -> ssize_t {
-    if !is_marked(file) {
-        return real!(write(file, bytes, count) as Write);
+pub unsafe extern "C" fn write(descriptor: c_int, bytes: *const c_void, byte_count: size_t) -> ssize_t {
+    if !is_marked(descriptor) {
+        return real!(write(descriptor, bytes, byte_count) as Write);
     }
-    match fault() {
-        None => real!(write(file, bytes, count) as Write),
-        // The first half is written; the call for the second half fails, as it is short then.
-        Some((FolderFault::NoSpaceAfterHalf | FolderFault::IoErrorAfterHalf, _)) if count > 1 => {
-            control::count(ControlWord::FolderFaults);
-            real!(write(file, bytes, count / 2) as Write)
+    match current_fault() {
+        None => real!(write(descriptor, bytes, byte_count) as Write),
+        // The caller writes the rest in further calls, until the one for the last byte fails.
+        Some((FolderFault::NoSpaceAfterHalf | FolderFault::IoErrorAfterHalf, _)) if byte_count > 1 => {
+            control::increment(ControlWord::FolderFaults);
+            real!(write(descriptor, bytes, byte_count / 2) as Write)
         }
-        Some((_, error)) => failed(error) as ssize_t,
+        Some((_, errno)) => fail_and_count(errno) as ssize_t,
     }
 }
 
-/// Stands before the C library's function.
+/// Replaces the function of the C library.
 ///
 /// # Safety
-/// As the C library's function.
+/// As for the C library's function.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn ftruncate64(file: c_int, length: off64_t) -> c_int {
-    match fault() {
-        Some((_, error)) if is_marked(file) => failed(error),
-        _ => real!(ftruncate64(file, length) as Truncate),
+pub unsafe extern "C" fn ftruncate64(descriptor: c_int, length: off64_t) -> c_int {
+    match current_fault() {
+        Some((_, errno)) if is_marked(descriptor) => fail_and_count(errno),
+        _ => real!(ftruncate64(descriptor, length) as Truncate),
     }
 }
 
-/// Stands before the C library's function.
+/// Replaces the function of the C library.
 ///
 /// # Safety
-/// As the C library's function: both have to be C strings.
+/// As for the C library's function: both paths must be C strings.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
-    match fault() {
-        Some((_, error)) if in_folder(to) => failed(error),
+    match current_fault() {
+        Some((_, errno)) if is_in_state_folder(to) => fail_and_count(errno),
         _ => real!(rename(from, to) as Rename),
     }
 }
 
-/// Stands before the C library's function.
+/// Replaces the function of the C library.
 ///
 /// # Safety
-/// As the C library's function.
+/// As for the C library's function.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn fsync(file: c_int) -> c_int {
-    match fault() {
-        Some((_, error)) if is_marked(file) => failed(error),
-        _ => real!(fsync(file) as Sync),
+pub unsafe extern "C" fn fsync(descriptor: c_int) -> c_int {
+    match current_fault() {
+        Some((_, errno)) if is_marked(descriptor) => fail_and_count(errno),
+        _ => real!(fsync(descriptor) as Sync),
     }
 }
 
-/// Stands before the C library's function.
+/// Replaces the function of the C library.
 ///
 /// # Safety
-/// As the C library's function.
+/// As for the C library's function.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn fdatasync(file: c_int) -> c_int {
-    match fault() {
-        Some((_, error)) if is_marked(file) => failed(error),
-        _ => real!(fdatasync(file) as Sync),
+pub unsafe extern "C" fn fdatasync(descriptor: c_int) -> c_int {
+    match current_fault() {
+        Some((_, errno)) if is_marked(descriptor) => fail_and_count(errno),
+        _ => real!(fdatasync(descriptor) as Sync),
     }
 }
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,10 +1,10 @@
-//! A library to be preloaded into a process under test. It stands before functions of the C library and makes some of
-//! their calls fail, come short or come late, and steps the wall clock, as the file of `scalebarrow-fault-control` says.
-//! Without that file all calls go through. It is part of no product.
+//! A shared library that is preloaded into a process under test. It replaces functions of the C library: some calls fail,
+//! transfer fewer bytes or return late, and the wall clock is stepped, as the control file of `scalebarrow-fault-control`
+//! says. Without a control file all calls pass through. The library is for tests only.
 
-mod chance;
 mod clock;
 mod control;
 mod files;
+mod random;
 mod real;
 mod sockets;
--- a/crates/fault-shim/src/real.rs
+++ b/crates/fault-shim/src/real.rs
@@ -1,35 +1,35 @@
-//! The functions that this library stands before.
+//! Calls to the functions of the C library that this library replaces.
 
 use std::ffi::CStr;
 
-/// The next function of that name after this library's.
-pub fn next(name: &CStr) -> *mut libc::c_void {
-    // SAFETY: the name is a C string, and the handle is one that the system defines.
+/// The address of the next function with this name in the load order after this library's; null if there is none.
+pub fn next_function(name: &CStr) -> *mut libc::c_void {
+    // SAFETY: `name` is a C string, and the handle is one that the system defines.
     unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) }
 }
 
-/// Calls the C library's function of that name.
+/// Calls the function of the C library with this name and type.
 macro_rules! real {
-    ($name:ident($($arg:expr),*) as $kind:ty) => {{
-        static FOUND: std::sync::OnceLock<usize> = std::sync::OnceLock::new();
+    ($name:ident($($arg:expr),*) as $function_type:ty) => {{
+        static ADDRESS: std::sync::OnceLock<usize> = std::sync::OnceLock::new();
         let name = concat!(stringify!($name), "\0");
         let find = || {
             let name = std::ffi::CStr::from_bytes_with_nul(name.as_bytes()).unwrap_or_default();
-            $crate::real::next(name) as usize
+            $crate::real::next_function(name) as usize
         };
-        let found = *FOUND.get_or_init(find);
-        assert_ne!(found, 0, "{name} is not there");
-        // SAFETY: the C library's function of that name has this type, and the caller hands its own arguments on.
-        let function: $kind = unsafe { std::mem::transmute::<usize, $kind>(found) };
-        // SAFETY: as above.
+        let address = *ADDRESS.get_or_init(find);
+        assert_ne!(address, 0, "the C library has no function {name}");
+        // SAFETY: the function of the C library with this name has this type.
+        let function: $function_type = unsafe { std::mem::transmute::<usize, $function_type>(address) };
+        // SAFETY: the caller passes on its own arguments, which are valid for this function.
         unsafe { function($($arg),*) }
     }};
 }
 pub(crate) use real;
 
-/// Fails a call with that error.
-pub fn fail(error: i32) -> i32 {
-    // SAFETY: the location is the calling thread's own.
-    unsafe { *libc::__errno_location() = error };
+/// Sets `errno` and returns the result of a failed call.
+pub fn fail(errno: i32) -> i32 {
+    // SAFETY: the location belongs to the calling thread.
+    unsafe { *libc::__errno_location() = errno };
     -1
 }
--- a/crates/fault-shim/tests/shim.rs
+++ b/crates/fault-shim/tests/shim.rs
@@ -1,4 +1,4 @@
-//! The shim in a process of its own: this test's program, started again with it.
+//! Tests the shim in a child process: the program of this test, started again with the shim preloaded.
 
 use scalebarrow_fault_control::{
     CONTROL_FILE_VARIABLE, ControlFile, ControlWord, FolderFault, STATE_FOLDER_VARIABLE, find_shim,
@@ -8,19 +8,20 @@
 use std::process::Command;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Names what the started program is to do.
-const ROLE: &str = "FAULT_SHIM_TEST_ROLE";
+/// The environment variable with what the child process is to do.
+const ROLE_VARIABLE: &str = "FAULT_SHIM_TEST_ROLE";
 
-fn folder(name: &str) -> PathBuf {
+/// Creates a folder for one test.
+fn create_folder(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("fault-shim-{}-{name}", std::process::id()));
     fs::create_dir_all(&path).unwrap();
     path
 }
 
-/// What this test's program prints in a role, with the shim.
-fn play(role: &str, control: &ControlFile, folder: &Path) -> String {
+/// Starts this program as a child process with the shim and a role. Returns what it prints.
+fn run_role(role: &str, control: &ControlFile, folder: &Path) -> String {
     let mut command = Command::new(std::env::current_exe().unwrap());
-    command.args(["--exact", "plays_its_role", "--nocapture"]).env(ROLE, role);
+    command.args(["--exact", "child_process_runs_its_role", "--nocapture"]).env(ROLE_VARIABLE, role);
     let shim = find_shim(&std::env::current_exe().unwrap()).unwrap();
     command
         .env("LD_PRELOAD", shim)
@@ -30,60 +31,64 @@
 }
 
 #[test]
-fn plays_its_role() {
-    let Ok(role) = std::env::var(ROLE) else { return };
+fn child_process_runs_its_role() {
+    let Ok(role) = std::env::var(ROLE_VARIABLE) else { return };
     let folder = PathBuf::from(std::env::var_os(STATE_FOLDER_VARIABLE).unwrap());
     match role.as_str() {
         "wall" => {
             println!("wall={}", SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs());
         }
-        "hold" => {
-            let since = Instant::now();
+        "pause" => {
+            let began_at = Instant::now();
             for _ in 0..20 {
                 let _ = Instant::now();
             }
-            println!("held={}", since.elapsed().as_millis());
+            println!("paused={}", began_at.elapsed().as_millis());
         }
-        _ => println!("wrote={:?}", fs::write(folder.join("file"), b"0123456789").map_err(|e| e.kind())),
+        _ => println!(
+            "wrote={:?}",
+            fs::write(folder.join("file"), b"0123456789").map_err(|error| error.kind())
+        ),
     }
 }
 
+/// The value that the child process printed after a name.
 fn value(output: &str, name: &str) -> String {
     output.lines().find_map(|line| line.split_once(name)).map(|(_, value)| value.to_owned()).unwrap()
 }
 
 #[test]
-fn the_wall_clock_is_stepped_either_way() {
-    let folder = folder("wall");
+fn the_wall_clock_is_stepped_forward_and_back() {
+    let folder = create_folder("wall");
     let control = ControlFile::create(&folder.join("control")).unwrap();
-    for step in [0_i64, 3600, -3600] {
-        control.set_wall_clock_offset(step as f64).unwrap();
-        let told: i64 = value(&play("wall", &control, &folder), "wall=").parse().unwrap();
-        let here = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs() as i64;
-        assert!((told - here - step).abs() < 10, "{told} {here} {step}");
+    for step_secs in [0_i64, 3600, -3600] {
+        control.set_wall_clock_offset(step_secs as f64).unwrap();
+        let child_secs: i64 = value(&run_role("wall", &control, &folder), "wall=").parse().unwrap();
+        let parent_secs = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs() as i64;
+        assert!((child_secs - parent_secs - step_secs).abs() < 10, "{child_secs} {parent_secs} {step_secs}");
     }
 }
 
 #[test]
-fn a_reader_of_the_clock_is_held_up() {
-    let folder = folder("hold");
+fn reads_of_the_monotonic_clock_are_followed_by_pauses() {
+    let folder = create_folder("pause");
     let control = ControlFile::create(&folder.join("control")).unwrap();
-    let held = || value(&play("hold", &control, &folder), "held=").parse::<u64>().unwrap();
-    assert!(held() < 100);
+    let paused_ms = || value(&run_role("pause", &control, &folder), "paused=").parse::<u64>().unwrap();
+    assert!(paused_ms() < 100);
     control.set(ControlWord::HoldUpRate, scalebarrow_fault_control::FULL_RATE).unwrap();
     control.set(ControlWord::HoldUpMicros, Duration::from_millis(150).as_micros() as u64).unwrap();
-    assert!(held() > 300);
+    assert!(paused_ms() > 300);
     assert!(control.get(ControlWord::HoldUps).unwrap() >= 20);
 }
 
 #[test]
-fn writes_to_the_folder_fail_as_they_are_told_to() {
-    let folder = folder("files");
+fn writes_to_the_state_folder_fail_while_the_fault_is_set() {
+    let folder = create_folder("files");
     let control = ControlFile::create(&folder.join("control")).unwrap();
-    let wrote = || value(&play("write", &control, &folder), "wrote=");
-    assert_eq!(wrote(), "Ok(())");
+    let write_result = || value(&run_role("write", &control, &folder), "wrote=");
+    assert_eq!(write_result(), "Ok(())");
     control.set(ControlWord::FolderFault, FolderFault::NoSpace as u64).unwrap();
-    assert_eq!(wrote(), "Err(StorageFull)");
+    assert_eq!(write_result(), "Err(StorageFull)");
     control.set(ControlWord::FolderFault, FolderFault::None as u64).unwrap();
-    assert_eq!(wrote(), "Ok(())");
+    assert_eq!(write_result(), "Ok(())");
 }
