--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -203,7 +203,7 @@
     }
 
     /// Sends a signal to the process and waits until it has ended. Returns how long that took.
-    pub fn end_with(&mut self, signal: Signal) -> Result<Duration, Error> {
+    pub fn signal_and_wait(&mut self, signal: Signal) -> Result<Duration, Error> {
         let began_at = Instant::now();
         // The id of a process that was waited for may already belong to another process.
         if self.is_running() {
@@ -260,7 +260,7 @@
 
 impl Drop for SenderProcess {
     fn drop(&mut self) {
-        let _ = self.end_with(Signal::SIGKILL);
+        let _ = self.signal_and_wait(Signal::SIGKILL);
     }
 }
 
--- a/crates/scale/src/soak/fault_injection.rs
+++ b/crates/scale/src/soak/fault_injection.rs
@@ -333,7 +333,7 @@
 fn kill_process(testbed: &Testbed, subject: &mut SenderUnderTest) -> Result<(), Error> {
     let sender = subject.number;
     testbed.judge.with(|judge, now| judge.record_sender_stop(sender, now));
-    subject.process.end_with(Signal::SIGKILL)?;
+    subject.process.signal_and_wait(Signal::SIGKILL)?;
     testbed.judge.with(|judge, now| Judge::record_sender_exit(judge, sender, now));
     Ok(())
 }
@@ -346,7 +346,7 @@
     while subject.process.is_running() && began_at.elapsed() < TERMINATION_TIMEOUT {
         std::thread::sleep(POLL_INTERVAL);
     }
-    subject.process.end_with(Signal::SIGKILL)?;
+    subject.process.signal_and_wait(Signal::SIGKILL)?;
     testbed.judge.with(|judge, now| Judge::record_sender_exit(judge, sender, now));
     Ok(())
 }
--- a/crates/scale/src/soak/proxy.rs
+++ b/crates/scale/src/soak/proxy.rs
@@ -114,6 +114,7 @@
     }
 }
 
+/// Accepts connections and starts a thread for each, until the proxy shuts down.
 fn accept_connections(
     listener: &TcpListener, listen_address: SocketAddr, target: SocketAddr, shared: &Arc<Shared>,
 ) {
--- a/crates/scale/src/verbs/restarts.rs
+++ b/crates/scale/src/verbs/restarts.rs
@@ -147,6 +147,6 @@
     while signal == Signal::SIGTERM && sender.is_running() && began_at.elapsed() < TERMINATION_TIMEOUT {
         std::thread::sleep(EXIT_POLL_INTERVAL);
     }
-    sender.end_with(Signal::SIGKILL)?;
+    sender.signal_and_wait(Signal::SIGKILL)?;
     Ok(began_at.elapsed())
 }
--- a/crates/scale/src/verbs/slope/held.rs
+++ b/crates/scale/src/verbs/slope/held.rs
@@ -178,7 +178,7 @@
 /// Kills the sender and starts it again. Returns how long it took to be ready.
 fn restart_sender(fleet: &mut Fleet) -> Result<Duration, Error> {
     fleet.judge.with(|judge, now| judge.record_sender_stop(0, now));
-    fleet.senders[0].end_with(Signal::SIGKILL)?;
+    fleet.senders[0].signal_and_wait(Signal::SIGKILL)?;
     let ready_after = fleet.senders[0].start()?;
     fleet.judge.with(|judge, now| judge.record_sender_ready(0, now));
     Ok(ready_after)
