--- a/crates/scale/src/capacity.rs
+++ b/crates/scale/src/capacity.rs
@@ -82,7 +82,7 @@
         if options.check {
             return Err(Error::Input("--check writes nothing, and --lab does: give one of them".into()));
         }
-        slopes.put(lab::slope(&options.root, folder, crate::verbs::slope::commit())?);
+        slopes.insert(lab::slope(&options.root, folder, crate::verbs::slope::commit())?);
         slopes.write(&path)?;
     }
     Ok(slopes)
--- a/crates/scale/src/capacity/figures.rs
+++ b/crates/scale/src/capacity/figures.rs
@@ -2,7 +2,7 @@
 
 use super::size::{Constant, Figure, Size};
 use crate::error::Error;
-use crate::slopes::{Kind, SlopeFile};
+use crate::slopes::{MeasurementKind, SlopeFile};
 use exmex::{Express, FlatEx};
 use std::collections::{BTreeMap, BTreeSet};
 use toml::Spanned;
@@ -81,7 +81,7 @@
         let measured = slope.zip(count.as_ref()).map(|(slope, count)| {
             let mut rests_on = count.rests_on.clone();
             rests_on.insert(name_of(slope.kind));
-            Value { value: slope.at(count.value), rests_on }
+            Value { value: slope.value_at(count.value), rests_on }
         });
         let count = count.map(|count| count.value);
         Ok(Row { figure, value: worked_out.or(measured), count, limit })
@@ -119,10 +119,10 @@
 }
 
 /// The kind of a slope, as the page tells it.
-pub fn name_of(kind: Kind) -> &'static str {
+pub fn name_of(kind: MeasurementKind) -> &'static str {
     match kind {
-        Kind::Real => "real",
-        Kind::Emulated => "emulated",
-        Kind::Simulated => "simulated",
+        MeasurementKind::Real => "real",
+        MeasurementKind::Emulated => "emulated",
+        MeasurementKind::Simulated => "simulated",
     }
 }
--- a/crates/scale/src/capacity/lab.rs
+++ b/crates/scale/src/capacity/lab.rs
@@ -2,7 +2,7 @@
 //! of results that `scalebarrow-lab sweep experiments/capacity-down.toml --out DIR` writes.
 
 use crate::error::Error;
-use crate::slopes::{Kind, Line, Slope};
+use crate::slopes::{FittedLine, MeasurementKind, Slope};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
@@ -65,7 +65,7 @@
         return Err(refused(&folder.join("summary.json"), why));
     }
     let points = points(&experiment.world, &folder.join("runs.jsonl"))?;
-    let line = Line::fit(&points)
+    let line = FittedLine::fit(&points)
         .ok_or_else(|| refused(&folder.join("runs.jsonl"), format!("{SENDERS}: two counts are needed")))?;
     let counts = || points.iter().map(|point| point.0);
     Ok(Slope {
@@ -79,7 +79,7 @@
         range: (counts().fold(f64::INFINITY, f64::min), counts().fold(0.0, f64::max)),
         residual: line.residual,
         points,
-        kind: Kind::Emulated,
+        kind: MeasurementKind::Emulated,
         verb: format!("scalebarrow-lab sweep {EXPERIMENT}"),
         commit,
     })
--- a/crates/scale/src/capacity/size.rs
+++ b/crates/scale/src/capacity/size.rs
@@ -1,7 +1,7 @@
 //! The size file: constants, the figures that are worked out from them and from slopes, and what is missing.
 
 use crate::error::Error;
-use crate::slopes::Kind;
+use crate::slopes::MeasurementKind;
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -44,7 +44,7 @@
     /// Where `from` is a file: text that stands in it, so that a constant that changes there is noticed here.
     pub line: Option<Spanned<String>>,
     /// Where it was measured: how.
-    pub kind: Option<Kind>,
+    pub kind: Option<MeasurementKind>,
 }
 
 /// A figure that is worked out: from a slope and a count, or from a formula.
--- a/crates/scale/src/slopes.rs
+++ b/crates/scale/src/slopes.rs
@@ -8,7 +8,7 @@
 /// How the figures of a slope came about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum MeasurementKind {
     /// Processes of the built program on sockets.
     Real,
     /// The program's parts in a process of the run's own, on sockets, or its decision module in the emulator.
@@ -39,7 +39,7 @@
     pub range: (f64, f64),
     /// The largest distance of a point from the line, as a share of the point.
     pub residual: f64,
-    pub kind: Kind,
+    pub kind: MeasurementKind,
     /// The command that measured it.
     pub verb: String,
     /// The commit that was measured, abbreviated.
@@ -55,17 +55,17 @@
 
 /// A line through points.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Line {
+pub struct FittedLine {
     pub slope: f64,
     pub base: f64,
     /// The largest distance of a point from the line, as a share of the point.
     pub residual: f64,
 }
 
-impl Line {
+impl FittedLine {
     /// The least-squares line; nothing where the points lie at fewer than two counts. A line that falls is not carried
     /// further: the quantity does not grow with the count, and its highest point stands.
-    pub fn fit(points: &[(f64, f64)]) -> Option<Line> {
+    pub fn fit(points: &[(f64, f64)]) -> Option<FittedLine> {
         let (counts, values): (Vec<f64>, Vec<f64>) = points.iter().copied().unzip();
         let first = *counts.first()?;
         if counts.iter().all(|count| *count == first) {
@@ -85,13 +85,13 @@
             if *value == 0.0 { off } else { off / value.abs() }
         };
         let residual = points.iter().map(distance).fold(0.0, f64::max);
-        Some(Line { slope, base, residual })
+        Some(FittedLine { slope, base, residual })
     }
 }
 
 impl Slope {
     /// The quantity at a count.
-    pub fn at(&self, count: f64) -> f64 {
+    pub fn value_at(&self, count: f64) -> f64 {
         self.slope * count + self.base
     }
 }
@@ -119,7 +119,7 @@
     }
 
     /// Takes a slope in, in place of one with the same name; points and names stay sorted.
-    pub fn put(&mut self, mut slope: Slope) {
+    pub fn insert(&mut self, mut slope: Slope) {
         slope.points.sort_by(|a, b| a.0.total_cmp(&b.0));
         self.slopes.retain(|old| old.id != slope.id);
         self.slopes.push(slope);
--- a/crates/scale/src/verbs/slope/mod.rs
+++ b/crates/scale/src/verbs/slope/mod.rs
@@ -7,7 +7,7 @@
 use crate::error::Error;
 use crate::guard::{Guard, Limits};
 use crate::interrupt::Stop;
-use crate::slopes::{Kind, Line, Slope, SlopeFile};
+use crate::slopes::{FittedLine, MeasurementKind, Slope, SlopeFile};
 use crate::verbs::report::progress;
 use bpaf::Bpaf;
 use std::path::{Path, PathBuf};
@@ -41,9 +41,9 @@
     }
 
     /// How the figures up to a count come about.
-    fn kind(self, highest: f64) -> Kind {
+    fn kind(self, highest: f64) -> MeasurementKind {
         let hollow = self == Of::Senders && highest > senders::MOST_REAL as f64;
-        if hollow { Kind::Emulated } else { Kind::Real }
+        if hollow { MeasurementKind::Emulated } else { MeasurementKind::Real }
     }
 
     fn unit(self) -> &'static str {
@@ -180,7 +180,7 @@
     println!("most in use: {} MiB in {} processes", most.memory >> 20, most.processes);
     if let Some(taken) = taken.first().filter(|_| !options.dry_run) {
         let mut file = SlopeFile::read(&options.out)?;
-        lines(options, taken).into_iter().for_each(|slope| file.put(slope));
+        lines(options, taken).into_iter().for_each(|slope| file.insert(slope));
         file.write(&options.out)?;
     }
     ended
@@ -204,7 +204,7 @@
     let slope = |quantity: Quantity| {
         let own = taken.iter().filter(|(_, m)| m.quantity.id == quantity.id);
         let points: Vec<(f64, f64)> = own.map(|(count, m)| (*count, m.value)).collect();
-        let line = Line::fit(&points)?;
+        let line = FittedLine::fit(&points)?;
         let counts = || points.iter().map(|p| p.0);
         let range = (counts().fold(f64::INFINITY, f64::min), counts().fold(0.0, f64::max));
         Some(Slope {
--- a/crates/scale/tests/capacity.rs
+++ b/crates/scale/tests/capacity.rs
@@ -2,7 +2,7 @@
 
 use scalebarrow_scale::capacity::{Options, run};
 use scalebarrow_scale::error::Error;
-use scalebarrow_scale::slopes::{Kind, SlopeFile};
+use scalebarrow_scale::slopes::{MeasurementKind, SlopeFile};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -391,7 +391,7 @@
     // 100 and 400 tries in ten seconds at five destinations: 2 and 8 a second at each.
     assert_eq!(slope.points, [(10.0, 2.0), (40.0, 8.0)]);
     assert!((slope.slope - 0.2).abs() < 1e-9 && slope.base.abs() < 1e-9, "{slope:?}");
-    assert_eq!((slope.range, slope.kind), ((10.0, 40.0), Kind::Emulated));
+    assert_eq!((slope.range, slope.kind), ((10.0, 40.0), MeasurementKind::Emulated));
     made.run(true).unwrap();
 }
 
--- a/crates/scale/tests/slopes.rs
+++ b/crates/scale/tests/slopes.rs
@@ -1,9 +1,9 @@
 //! The file of slopes and the line through points.
 
-use scalebarrow_scale::slopes::{Kind, Line, Slope, SlopeFile};
+use scalebarrow_scale::slopes::{FittedLine, MeasurementKind, Slope, SlopeFile};
 
 fn slope(id: &str, points: &[(f64, f64)]) -> Slope {
-    let line = Line::fit(points).unwrap();
+    let line = FittedLine::fit(points).unwrap();
     Slope {
         id: id.into(),
         role: "sender".into(),
@@ -15,7 +15,7 @@
         points: points.to_vec(),
         range: (1.0, 3.0),
         residual: line.residual,
-        kind: Kind::Real,
+        kind: MeasurementKind::Real,
         verb: "slope held".into(),
         commit: "abc".into(),
     }
@@ -34,7 +34,7 @@
         // One that falls stays at its highest point, 3 above the lowest.
         (&[(0.0, 6.0), (10.0, 3.0), (20.0, 4.0)], Some((0.0, 6.0, 1.0))),
     ] {
-        let line = Line::fit(points);
+        let line = FittedLine::fit(points);
         assert_eq!(line.is_some(), expected.is_some(), "{points:?}");
         let Some((line, (slope, base, residual))) = line.zip(expected) else { continue };
         for (got, wanted) in [(line.slope, slope), (line.base, base), (line.residual, residual)] {
@@ -50,9 +50,9 @@
     let path = folder.join("slopes.json");
     assert_eq!(SlopeFile::read(&path).unwrap(), SlopeFile::default());
     let mut file = SlopeFile::default();
-    file.put(slope("b", &[(1.0, 2.0), (2.0, 4.0)]));
-    file.put(slope("a", &[(3.0, 2.0), (1.0, 4.0)]));
-    file.put(slope("b", &[(3.0, 2.0), (2.0, 4.0)]));
+    file.insert(slope("b", &[(1.0, 2.0), (2.0, 4.0)]));
+    file.insert(slope("a", &[(3.0, 2.0), (1.0, 4.0)]));
+    file.insert(slope("b", &[(3.0, 2.0), (2.0, 4.0)]));
     file.write(&path).unwrap();
     let read = SlopeFile::read(&path).unwrap();
     assert_eq!(read, file);
