--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -1,48 +1,53 @@
-//! Two policies on the same days: the differences, day by day, and how sure they are.
+//! Compares two policies that were simulated with the same seeds: the mean paired differences with confidence intervals.
 
-use crate::play::Row;
+use crate::simulate::DayResult;
 use serde::Serialize;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// The mean of paired differences with the interval in which it lies with 95% confidence (Student's t).
+/// The mean of paired differences with its 95% confidence interval by Student's t: an entry of `differences.json`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Difference {
+    /// The name of the figure that is compared, as `p99 ms`.
     pub figure: String,
+    /// The number of differences.
     pub pairs: usize,
     pub mean: f64,
+    /// The bounds of the interval.
     pub low: f64,
     pub high: f64,
 }
 
-pub fn paired(figure: &str, differences: &[f64]) -> Difference {
-    let n = differences.len();
-    let mean = differences.iter().sum::<f64>() / n.max(1) as f64;
-    let squares: f64 = differences.iter().map(|d| (d - mean).powi(2)).sum();
-    // Of one pair nothing can be said about the spread.
-    let half = if n < 2 {
+/// The mean of the differences and its confidence interval.
+pub fn paired_difference(figure: &str, differences: &[f64]) -> Difference {
+    let pairs = differences.len();
+    let mean = differences.iter().sum::<f64>() / pairs.max(1) as f64;
+    let squared_deviations: f64 = differences.iter().map(|d| (d - mean).powi(2)).sum();
+    // One pair says nothing about the spread.
+    let half_width = if pairs < 2 {
         f64::INFINITY
     } else {
-        let error = (squares / (n - 1) as f64 / n as f64).sqrt();
-        StudentsT::new(0.0, 1.0, (n - 1) as f64).map_or(f64::INFINITY, |t| t.inverse_cdf(0.975) * error)
+        let standard_error = (squared_deviations / (pairs - 1) as f64 / pairs as f64).sqrt();
+        StudentsT::new(0.0, 1.0, (pairs - 1) as f64)
+            .map_or(f64::INFINITY, |t| t.inverse_cdf(0.975) * standard_error)
     };
-    Difference { figure: figure.into(), pairs: n, mean, low: mean - half, high: mean + half }
+    Difference { figure: figure.into(), pairs, mean, low: mean - half_width, high: mean + half_width }
 }
 
-/// All figures of days that both policies played, by seed.
-pub fn compare(ours: &[Row], theirs: &[Row]) -> Vec<Difference> {
-    type Figure = (&'static str, fn(&Row) -> f64);
+/// The differences of all figures, first policy less second, over the seeds that both were simulated with.
+pub fn compare(first: &[DayResult], second: &[DayResult]) -> Vec<Difference> {
+    type Figure = (&'static str, fn(&DayResult) -> f64);
     let figures: [Figure; 5] = [
-        ("value", |r| r.value),
-        ("worst window", |r| r.worst_window),
-        ("p50 ms", |r| crate::results::percentile(r, 50.0)),
-        ("p99 ms", |r| crate::results::percentile(r, 99.0)),
-        ("attempts", |r| r.counts.attempts as f64),
+        ("value", |day| day.value),
+        ("worst window", |day| day.worst_window),
+        ("p50 ms", |day| crate::results::latency_percentile(day, 50.0)),
+        ("p99 ms", |day| crate::results::latency_percentile(day, 99.0)),
+        ("attempts", |day| day.counts.attempts as f64),
     ];
-    let pair = |of: fn(&Row) -> f64| -> Vec<f64> {
-        let both = ours.iter().filter_map(|a| Some((a, theirs.iter().find(|b| b.seed == a.seed)?)));
-        both.map(|(a, b)| of(a) - of(b)).filter(|d| d.is_finite()).collect()
+    let differences = |figure: fn(&DayResult) -> f64| -> Vec<f64> {
+        let pairs = first.iter().filter_map(|a| Some((a, second.iter().find(|b| b.seed == a.seed)?)));
+        pairs.map(|(a, b)| figure(a) - figure(b)).filter(|d| d.is_finite()).collect()
     };
-    figures.iter().map(|(name, of)| paired(name, &pair(*of))).collect()
+    figures.iter().map(|(name, figure)| paired_difference(name, &differences(*figure))).collect()
 }
 
 #[cfg(test)]
--- a/crates/lab/src/experiment/tests.rs
+++ b/crates/lab/src/experiment/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn fields_are_set_by_path() {
+fn set_field_follows_paths_and_creates_missing_tables() {
     let text = "a = 1.0\nb.c = [1, 2]\n[[d]]\ne = 'x'";
     let cases = [
         ("a", Value::Integer(3), Ok(())),
@@ -11,19 +11,19 @@
         ("d.1.e", Value::Integer(0), Err(())),
         ("a.b", Value::Integer(0), Err(())),
     ];
-    for (field, to, expected) in cases {
+    for (field, new_value, expected) in cases {
         let mut value: Value = toml::from_str(text).unwrap();
-        assert_eq!(set(&mut value, field, to).map_err(|_| ()), expected, "{field}");
+        assert_eq!(set_field(&mut value, field, new_value).map_err(|_| ()), expected, "{field}");
     }
     let mut value: Value = toml::from_str(text).unwrap();
-    set(&mut value, "a", Value::Integer(3)).unwrap();
+    set_field(&mut value, "a", Value::Integer(3)).unwrap();
     assert_eq!(value["a"], Value::Float(3.0));
 }
 
 #[test]
-fn a_field_is_found_where_it_is_written() {
+fn field_offset_finds_the_longest_written_part_of_a_path() {
     let text = "x = 1\n[w]\n[[w.kind]]\nname = 'a'\n[[w.kind]]\nname = 'b'\n";
-    let line = |field| locate(text, field).map(|at| text[..at].matches('\n').count() + 1);
+    let line = |field| field_offset(text, field).map(|offset| text[..offset].matches('\n').count() + 1);
     assert_eq!(line("x"), Some(1));
     assert_eq!(line("w.kind.1.name"), Some(6));
     assert_eq!(line("w.kind.0.missing"), Some(3));
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -1,145 +1,161 @@
-//! Counts across a fleet what its senders wrote in their logs (`serve --log debug`): calls by outcome at each
-//! destination, webhooks given up, new connections, calls for the list, and connections open at each endpoint.
+//! Counts over the logs of a fleet of senders (`serve --log debug`): calls by outcome at each destination, webhooks given
+//! up, new connections, requests for the endpoint list, and connections open at each endpoint.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 use std::path::Path;
 
-/// What is counted of calls, in this order; the last holds all that never ran for want of a connection.
+/// The outcomes of calls that are counted, in the order of the table. The last is of calls that never ran because the
+/// connection could not be opened.
 const OUTCOMES: [&str; 6] = ["Delivered", "Full", "Failed", "TimedOut", "Reset", "ConnectFailed"];
 
-/// One log line, as far as it is counted.
+/// A log line that may be counted.
 #[derive(Debug, PartialEq)]
-struct Line<'a> {
-    at: f64,
+struct LogLine<'a> {
+    /// Since the Unix epoch.
+    at_secs: f64,
+    /// The value of the field `code`, or `serving` for the line that a sender writes when it starts.
     code: &'a str,
     fields: BTreeMap<&'a str, &'a str>,
 }
 
-/// A line of a log: anything may stand before its time. Others, as of a program that was killed while it wrote, are none.
-fn read(line: &str) -> Option<Line<'_>> {
+/// Parses a log line; anything may come before its time. Other lines, as one that a sender was killed while writing, are
+/// skipped.
+fn parse_line(line: &str) -> Option<LogLine<'_>> {
     let mut words = line.split_ascii_whitespace();
-    let at = words.find_map(|w| humantime::parse_rfc3339(w).ok())?;
-    let at = at.duration_since(std::time::UNIX_EPOCH).ok()?.as_secs_f64();
+    let time = words.find_map(|word| humantime::parse_rfc3339(word).ok())?;
+    let at_secs = time.duration_since(std::time::UNIX_EPOCH).ok()?.as_secs_f64();
     let fields: BTreeMap<_, _> =
-        words.filter_map(|w| w.split_once('=')).map(|(k, v)| (k, v.trim_matches('"'))).collect();
+        words.filter_map(|w| w.split_once('=')).map(|(name, v)| (name, v.trim_matches('"'))).collect();
     let code = fields.get("code").copied().or_else(|| line.contains(" serving ").then_some("serving"))?;
-    Some(Line { at, code, fields })
+    Some(LogLine { at_secs, code, fields })
 }
 
+/// The counts of one span of time.
 #[derive(Default)]
-struct Span {
-    /// By destination and outcome.
+struct SpanCounts {
+    /// Calls by destination and index into `OUTCOMES`.
     calls: BTreeMap<(u64, usize), u64>,
-    /// By destination, and whether it ever went out.
+    /// Webhooks given up, by destination and whether there was an attempt.
     given_up: BTreeMap<(u64, bool), u64>,
+    /// Connections that senders began to open.
     connecting: u64,
+    /// Endpoint lists received.
     listed: u64,
+    /// Connections to the list service that ended or failed.
     not_listed: u64,
 }
 
+/// The counts over all senders of a fleet.
 #[derive(Default)]
-pub struct Fleet {
+pub struct FleetCounts {
     senders: usize,
-    span: f64,
-    spans: BTreeMap<usize, Span>,
-    /// Endpoints by destination, with the most connections that all senders had open at once.
-    open: BTreeMap<(u64, String), u64>,
+    /// The length of a span.
+    span_secs: f64,
+    /// Spans by their index, from the first log line on.
+    spans: BTreeMap<usize, SpanCounts>,
+    /// The most connections that all senders had open at once, by destination and endpoint.
+    max_open: BTreeMap<(u64, String), u64>,
 }
 
-/// Reads every file in the folder whose name ends in `.log` as one sender's.
-pub fn count(dir: &Path, span: f64) -> Result<Fleet, String> {
-    let named = |e: std::io::Error| format!("{}: {e}", dir.display());
-    let files = std::fs::read_dir(dir).map_err(named)?;
-    let paths: BTreeSet<_> = files.map(|f| f.map(|f| f.path())).collect::<Result<_, _>>().map_err(named)?;
+/// Counts over every file in the folder whose name ends in `.log`; each is one sender's log.
+pub fn count(dir: &Path, span_secs: f64) -> Result<FleetCounts, String> {
+    let with_path = |e: std::io::Error| format!("{}: {e}", dir.display());
+    let files = std::fs::read_dir(dir).map_err(with_path)?;
+    let paths: BTreeSet<_> =
+        files.map(|entry| entry.map(|entry| entry.path())).collect::<Result<_, _>>().map_err(with_path)?;
     let mut logs = Vec::new();
-    for path in paths.iter().filter(|p| p.extension().is_some_and(|e| e == "log")) {
+    for path in paths.iter().filter(|path| path.extension().is_some_and(|e| e == "log")) {
         let bytes = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
         logs.push(String::from_utf8_lossy(&bytes).into_owned());
     }
-    let fleet =
-        Fleet::of(&logs, span).ok_or_else(|| format!("{}: no log lines in any *.log", dir.display()))?;
-    // Counts of nothing would look like a fleet that does nothing.
-    let followed = fleet.spans.values().any(|s| s.connecting > 0 || !s.calls.is_empty());
-    followed
-        .then_some(fleet)
-        .ok_or_else(|| format!("{}: no attempts: start senders with --log debug", dir.display()))
+    let fleet = FleetCounts::of(&logs, span_secs)
+        .ok_or_else(|| format!("{}: no log lines in any *.log", dir.display()))?;
+    // Without debug lines all counts would be 0, as if the senders had been idle.
+    let has_attempts = fleet.spans.values().any(|span| span.connecting > 0 || !span.calls.is_empty());
+    has_attempts.then_some(fleet).ok_or_else(|| {
+        format!("{}: no attempts in the logs: start the senders with --log debug", dir.display())
+    })
 }
 
-impl Fleet {
-    fn of(logs: &[String], span: f64) -> Option<Fleet> {
-        let lines: Vec<(usize, Line)> = logs
+impl FleetCounts {
+    /// Counts over the logs, one for each sender; nothing if there is no log line.
+    fn of(logs: &[String], span_secs: f64) -> Option<FleetCounts> {
+        let lines: Vec<(usize, LogLine)> = logs
             .iter()
             .enumerate()
-            .flat_map(|(i, log)| log.lines().filter_map(read).map(move |l| (i, l)))
+            .flat_map(|(sender, log)| log.lines().filter_map(parse_line).map(move |line| (sender, line)))
             .collect();
-        let start = lines.iter().map(|l| l.1.at).min_by(f64::total_cmp)?;
-        let mut fleet = Fleet { senders: logs.len(), span, ..Fleet::default() };
-        // Senders name endpoints; which destination an endpoint is of, the list told them.
-        let eps: BTreeMap<&str, u64> = lines
+        let first_at = lines.iter().map(|entry| entry.1.at_secs).min_by(f64::total_cmp)?;
+        let mut fleet = FleetCounts { senders: logs.len(), span_secs, ..FleetCounts::default() };
+        // Most lines name only the endpoint; the lines of the endpoint list say which destination it belongs to.
+        let destinations: BTreeMap<&str, u64> = lines
             .iter()
-            .filter(|l| l.1.code == "endpoint")
-            .filter_map(|l| Some((*l.1.fields.get("ep")?, l.1.fields.get("dest")?.parse().ok()?)))
+            .filter(|entry| entry.1.code == "endpoint")
+            .filter_map(|entry| Some((*entry.1.fields.get("ep")?, entry.1.fields.get("dest")?.parse().ok()?)))
             .collect();
-        let mut links: Vec<(f64, usize, i64, u64, &str)> = Vec::new();
+        // Time, sender, change (1 opened, -1 closed, 0 the sender started), destination and endpoint.
+        let mut changes: Vec<(f64, usize, i64, u64, &str)> = Vec::new();
         for (sender, line) in &lines {
             let text = |name| line.fields.get(name).copied();
-            let ep = text("ep").unwrap_or_default();
-            let dest = text("dest").and_then(|d| d.parse().ok()).or_else(|| eps.get(ep).copied());
-            let span = fleet.spans.entry(((line.at - start) / fleet.span) as usize).or_default();
-            match (line.code, text("peer"), dest) {
-                ("back", _, Some(dest)) => {
+            let endpoint = text("ep").unwrap_or_default();
+            let destination =
+                text("dest").and_then(|d| d.parse().ok()).or_else(|| destinations.get(endpoint).copied());
+            let span = fleet.spans.entry(((line.at_secs - first_at) / fleet.span_secs) as usize).or_default();
+            match (line.code, text("peer"), destination) {
+                ("back", _, Some(destination)) => {
                     let outcome = text("outcome").unwrap_or_default();
-                    if let Some(i) = OUTCOMES.iter().position(|o| outcome.starts_with(o)) {
-                        *span.calls.entry((dest, i)).or_default() += 1;
+                    if let Some(index) = OUTCOMES.iter().position(|name| outcome.starts_with(name)) {
+                        *span.calls.entry((destination, index)).or_default() += 1;
                     }
                 }
-                ("given-up", _, Some(dest)) => {
-                    *span.given_up.entry((dest, text("tries") != Some("0"))).or_default() += 1;
+                ("given-up", _, Some(destination)) => {
+                    *span.given_up.entry((destination, text("tries") != Some("0"))).or_default() += 1;
                 }
-                ("connecting", _, Some(dest)) => {
+                ("connecting", _, Some(destination)) => {
                     span.connecting += 1;
-                    links.push((line.at, *sender, 1, dest, ep));
+                    changes.push((line.at_secs, *sender, 1, destination, endpoint));
                 }
                 ("listed", ..) if text("mode") != Some("Remembered") => span.listed += 1,
-                ("serving", ..) => links.push((line.at, *sender, 0, 0, "")),
+                ("serving", ..) => changes.push((line.at_secs, *sender, 0, 0, "")),
                 (_, Some("list"), _) => span.not_listed += 1,
-                (_, Some("endpoint"), Some(dest)) => {
-                    links.push((line.at, *sender, -1, dest, ep));
+                (_, Some("endpoint"), Some(destination)) => {
+                    changes.push((line.at_secs, *sender, -1, destination, endpoint));
                 }
                 _ => {}
             }
         }
-        fleet.count_open(links);
+        fleet.count_open(changes);
         Some(fleet)
     }
 
-    fn count_open(&mut self, mut links: Vec<(f64, usize, i64, u64, &str)>) {
-        links.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        let mut now: BTreeMap<(u64, &str), BTreeMap<usize, u64>> = BTreeMap::new();
-        for (_, sender, step, dest, ep) in links {
+    /// Finds the most connections that were open at once at each endpoint.
+    fn count_open(&mut self, mut changes: Vec<(f64, usize, i64, u64, &str)>) {
+        changes.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+        let mut open_now: BTreeMap<(u64, &str), BTreeMap<usize, u64>> = BTreeMap::new();
+        for (_, sender, step, destination, endpoint) in changes {
             if step == 0 {
-                // A start: what an earlier life of the sender had open is closed, whether or not it said so.
-                now.values_mut().for_each(|by| {
-                    by.remove(&sender);
+                // The sender started: connections of its earlier process are closed, even if its log does not say so.
+                open_now.values_mut().for_each(|by_sender| {
+                    by_sender.remove(&sender);
                 });
                 continue;
             }
-            let by = now.entry((dest, ep)).or_default();
-            let open = by.entry(sender).or_default();
+            let by_sender = open_now.entry((destination, endpoint)).or_default();
+            let open = by_sender.entry(sender).or_default();
             *open = open.saturating_add_signed(step);
-            let all: u64 = by.values().sum();
-            let most = self.open.entry((dest, ep.to_owned())).or_default();
-            *most = all.max(*most);
+            let total: u64 = by_sender.values().sum();
+            let max = self.max_open.entry((destination, endpoint.to_owned())).or_default();
+            *max = total.max(*max);
         }
     }
 
-    /// Tables for a person: the fleet by span, each destination by span, each endpoint's connections.
+    /// The counts as text tables: the fleet by span, each destination by span, and the connections of each endpoint.
     pub fn table(&self) -> String {
-        let mut t = format!(
+        let mut text = format!(
             "{} senders, spans of {} s\n\n{:>6} {:>9} {:>6} {:>6} {:>6} {:>6} {:>6} {:>7} {:>7} {:>8} {:>6} {:>9}\n",
             self.senders,
-            self.span,
+            self.span_secs,
             "from",
             "delivered",
             "full",
@@ -153,46 +169,49 @@
             "listed",
             "not-listed"
         );
-        let count = |s: &Span, i| s.calls.iter().filter(|c| c.0.1 == i).map(|c| c.1).sum::<u64>();
-        let given = |s: &Span, sent| s.given_up.iter().filter(|g| g.0.1 == sent).map(|g| g.1).sum::<u64>();
-        for (i, s) in &self.spans {
-            let c: Vec<u64> = (0..OUTCOMES.len()).map(|i| count(s, i)).collect();
+        let calls = |span: &SpanCounts, i| span.calls.iter().filter(|c| c.0.1 == i).map(|c| c.1).sum::<u64>();
+        let given_up = |span: &SpanCounts, attempted| {
+            span.given_up.iter().filter(|g| g.0.1 == attempted).map(|g| g.1).sum::<u64>()
+        };
+        for (index, span) in &self.spans {
+            let by_outcome: Vec<u64> = (0..OUTCOMES.len()).map(|i| calls(span, i)).collect();
             let _ = writeln!(
-                t,
+                text,
                 "{:>6.1} {:>9} {:>6} {:>6} {:>6} {:>6} {:>6} {:>7} {:>7} {:>8} {:>6} {:>9}",
-                *i as f64 * self.span,
-                c[0],
-                c[1],
-                c[2],
-                c[3],
-                c[4],
-                c[5],
-                given(s, false),
-                given(s, true),
-                s.connecting,
-                s.listed,
-                s.not_listed
+                *index as f64 * self.span_secs,
+                by_outcome[0],
+                by_outcome[1],
+                by_outcome[2],
+                by_outcome[3],
+                by_outcome[4],
+                by_outcome[5],
+                given_up(span, false),
+                given_up(span, true),
+                span.connecting,
+                span.listed,
+                span.not_listed
             );
         }
-        let dests: BTreeSet<u64> = self.spans.values().flat_map(|s| s.calls.keys().map(|c| c.0)).collect();
+        let destinations: BTreeSet<u64> =
+            self.spans.values().flat_map(|span| span.calls.keys().map(|c| c.0)).collect();
         let _ =
-            writeln!(t, "\neach destination by span: delivered/full/other, and given up unsent after a +");
-        for dest in dests {
-            let _ = write!(t, "{dest:>4}:");
-            for s in self.spans.values() {
-                let n = |i| s.calls.get(&(dest, i)).copied().unwrap_or(0);
+            writeln!(text, "\neach destination by span: delivered/full/other, and given up unsent after a +");
+        for destination in destinations {
+            let _ = write!(text, "{destination:>4}:");
+            for span in self.spans.values() {
+                let calls = |i| span.calls.get(&(destination, i)).copied().unwrap_or(0);
                 let (other, unsent) =
-                    ((2..OUTCOMES.len()).map(n).sum::<u64>(), s.given_up.get(&(dest, false)));
-                let _ = write!(t, " {}/{}/{other}", n(0), n(1));
-                let _ = unsent.map_or(Ok(()), |u| write!(t, "+{u}"));
+                    ((2..OUTCOMES.len()).map(calls).sum::<u64>(), span.given_up.get(&(destination, false)));
+                let _ = write!(text, " {}/{}/{other}", calls(0), calls(1));
+                let _ = unsent.map_or(Ok(()), |count| write!(text, "+{count}"));
             }
-            t.push('\n');
+            text.push('\n');
         }
-        let _ = writeln!(t, "\nmost connections open at once, by endpoint");
-        for ((dest, ep), most) in &self.open {
-            let _ = writeln!(t, "{dest:>4} {ep} {most}");
+        let _ = writeln!(text, "\nmost connections open at once, by endpoint");
+        for ((destination, endpoint), max) in &self.max_open {
+            let _ = writeln!(text, "{destination:>4} {endpoint} {max}");
         }
-        t
+        text
     }
 }
 
--- a/crates/lab/src/fleet/tests.rs
+++ b/crates/lab/src/fleet/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn counts_are_of_the_whole_fleet_and_a_start_closes_what_was_open() {
+fn counts_add_up_all_senders_and_a_restart_closes_connections() {
     let one = log(&[
         ("00.000000", r#"serving name="n0" senders=2"#),
         ("00.000000", r#"an endpoint is listed code="endpoint" ep="a" dest=4 kind="plain" rate=50.0"#),
@@ -24,14 +24,14 @@
         ("01.900000", r#"a final answer is owed code="given-up" id="x" dest=5 end=Rejected(0.5) tries=0"#),
         ("01.900000", r#"an attempt is back code="back" ep="a" outcome=TimedOut over=false"#),
     ]);
-    let fleet = Fleet::of(&[one, two], 1.0).unwrap();
+    let fleet = FleetCounts::of(&[one, two], 1.0).unwrap();
     let (first, second) = (&fleet.spans[&0], &fleet.spans[&1]);
     assert_eq!(first.calls, BTreeMap::from([((4, 0), 1), ((4, 1), 1)]));
     assert_eq!(second.calls, BTreeMap::from([((4, 3), 1)]));
     assert_eq!(second.given_up, BTreeMap::from([((5, false), 1)]));
     assert_eq!((first.connecting, first.listed, first.not_listed), (2, 1, 0));
     assert_eq!((second.connecting, second.listed, second.not_listed), (1, 0, 1));
-    assert_eq!(fleet.open, BTreeMap::from([((4, "a".to_owned()), 2)]));
+    assert_eq!(fleet.max_open, BTreeMap::from([((4, "a".to_owned()), 2)]));
     assert!(fleet.table().contains("4: 1/1/0 0/0/1\n"), "{}", fleet.table());
-    assert!(Fleet::of(&["no log".into()], 1.0).is_none());
+    assert!(FleetCounts::of(&["no log".into()], 1.0).is_none());
 }
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -1,7 +1,8 @@
-//! Looks for days on which a rule breaks, or on which most is lost against a baseline, and makes the day small.
+//! Searches random experiments for a day on which a rule is broken or on which the policy loses the most value against the
+//! baseline, and shrinks the experiment that it finds.
 
 use crate::experiment::{Experiment, Found};
-use crate::play::{STOP, day};
+use crate::simulate::{STOP_REQUESTED, simulate_day};
 use indicatif::{ProgressBar, ProgressStyle};
 use rand::RngExt;
 use rayon::prelude::*;
@@ -10,25 +11,28 @@
 use scalebarrow_emulator::{Report, Rule};
 use std::sync::atomic::Ordering;
 
-/// What is hunted for.
+/// What a hunt searches for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Prey {
-    /// Any rule broken.
-    Rules,
-    /// The greatest loss of value against the baseline.
+pub enum Goal {
+    /// A day on which a rule is broken.
+    BrokenRule,
+    /// The day with the greatest loss of value against the baseline, with no rule broken.
     Loss,
 }
 
-/// What a day showed.
+/// What a hunt looks at in a simulated day.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shown {
+pub struct DayOutcome {
+    /// The first rule that was broken.
     pub rule: Option<Rule>,
+    /// The baseline's value minus the policy's value; 0 if the baseline was not simulated.
     pub loss: f64,
+    /// The hash of the event log.
     pub hash: u64,
 }
 
-/// Sorts of trouble that a hunt draws from, with the least and greatest size.
-const SORTS: [(FaultKind, f64, f64); 22] = [
+/// The kinds of faults that a hunt draws from, with the smallest and largest size.
+const FAULT_KINDS: [(FaultKind, f64, f64); 22] = [
     (FaultKind::Down, 0.0, 0.0),
     (FaultKind::Silent, 0.0, 0.0),
     (FaultKind::Hang, 0.0, 0.0),
@@ -53,14 +57,15 @@
     (FaultKind::Surge, 1.2, 3.0),
 ];
 
-fn trouble(length: f64, with: &mut Generator) -> FaultSpec {
-    let (kind, least, most) = SORTS[with.random_range(0..SORTS.len())];
-    let size: f64 = least + (most - least) * with.random::<f64>();
-    let start_s = length * 0.8 * with.random::<f64>();
-    let duration_s = (0.5 + length * 0.35 * with.random::<f64>()).max(size);
-    let share = if with.random::<f64>() < 0.3 { 0.0 } else { 0.1 + 0.8 * with.random::<f64>() };
-    let period_s = if kind == FaultKind::Pauses { size * (2.0 + 6.0 * with.random::<f64>()) } else { 0.0 };
-    // Rounded, so that a file that people read holds short figures.
+/// A random fault for a day of so many seconds.
+fn random_fault(day_length_s: f64, rng: &mut Generator) -> FaultSpec {
+    let (kind, min_size, max_size) = FAULT_KINDS[rng.random_range(0..FAULT_KINDS.len())];
+    let size: f64 = min_size + (max_size - min_size) * rng.random::<f64>();
+    let start_s = day_length_s * 0.8 * rng.random::<f64>();
+    let duration_s = (0.5 + day_length_s * 0.35 * rng.random::<f64>()).max(size);
+    let share = if rng.random::<f64>() < 0.3 { 0.0 } else { 0.1 + 0.8 * rng.random::<f64>() };
+    let period_s = if kind == FaultKind::Pauses { size * (2.0 + 6.0 * rng.random::<f64>()) } else { 0.0 };
+    // Rounded, since people read the file that this goes into.
     let round = |x: f64| (x * 100.0).round() / 100.0;
     let (start_s, duration_s) = (round(start_s), (duration_s * 100.0).ceil() / 100.0);
     let target = FaultTarget { share: round(share), ..FaultTarget::default() };
@@ -74,146 +79,158 @@
     }
 }
 
-/// A day drawn by chance round the experiment's world.
-fn draw(e: &Experiment, seed: u64) -> Experiment {
-    let mut with = generator(seed, "hunt");
-    let mut e = e.clone();
-    e.sweeps.clear();
-    e.seed = seed;
-    let w = &mut e.world;
-    for _ in 0..with.random_range(1..=4) {
-        w.faults.push(trouble(w.day.length_s, &mut with));
+/// The experiment with random faults, fewer senders and, in half of the cases, a coarse clock.
+fn random_experiment(experiment: &Experiment, seed: u64) -> Experiment {
+    let mut rng = generator(seed, "hunt");
+    let mut experiment = experiment.clone();
+    experiment.sweeps.clear();
+    experiment.seed = seed;
+    let world = &mut experiment.world;
+    for _ in 0..rng.random_range(1..=4) {
+        world.faults.push(random_fault(world.day.length_s, &mut rng));
     }
-    w.senders.count = with.random_range(1..=w.senders.count);
-    w.faults.iter_mut().for_each(|t| t.target.senders.retain(|s| *s < w.senders.count));
-    // Half the days on a grid, where many events come at one instant, in some order.
-    if with.random::<bool>() {
-        (w.day.tick_us, w.day.shuffle_seed) =
-            ([100, 1_000, 5_000][with.random_range(0..3)], with.random_range(1..1_000));
+    world.senders.count = rng.random_range(1..=world.senders.count);
+    world.faults.iter_mut().for_each(|fault| fault.target.senders.retain(|s| *s < world.senders.count));
+    // In half of the cases times are rounded to a grid, so that many events happen at one instant, in shuffled order.
+    if rng.random::<bool>() {
+        (world.day.tick_us, world.day.shuffle_seed) =
+            ([100, 1_000, 5_000][rng.random_range(0..3)], rng.random_range(1..1_000));
     }
-    e
+    experiment
 }
 
-fn shown(ours: &Report, theirs: Option<&Report>) -> Shown {
-    // A baseline that breaks a rule has no value to be measured against, but tells what was there to be had.
-    let loss = theirs.map_or(0.0, |t| t.value - ours.value);
-    Shown { rule: ours.violations.first().map(|b| b.rule), loss, hash: ours.hash }
+fn day_outcome(report: &Report, baseline: Option<&Report>) -> DayOutcome {
+    // A baseline that breaks a rule is no fair comparison, but its value still shows what could have been delivered.
+    let loss = baseline.map_or(0.0, |baseline| baseline.value - report.value);
+    DayOutcome { rule: report.violations.first().map(|violation| violation.rule), loss, hash: report.hash }
 }
 
-/// Plays a day of a hunt.
-pub fn look(e: &Experiment, prey: Prey) -> Result<Shown, String> {
-    let ours = day(e, &e.policy, e.seed, &mut |_| {})?.0;
-    let theirs = match prey {
-        Prey::Rules => None,
-        Prey::Loss => Some(day(e, &e.baseline, e.seed, &mut |_| {})?.0),
+/// Simulates a day of a hunt.
+pub fn evaluate(experiment: &Experiment, goal: Goal) -> Result<DayOutcome, String> {
+    let report = simulate_day(experiment, &experiment.policy, experiment.seed, &mut |_| {})?.0;
+    let baseline = match goal {
+        Goal::BrokenRule => None,
+        Goal::Loss => Some(simulate_day(experiment, &experiment.baseline, experiment.seed, &mut |_| {})?.0),
     };
-    Ok(shown(&ours, theirs.as_ref()))
+    Ok(day_outcome(&report, baseline.as_ref()))
 }
 
-/// Whether a day shows as much as the one found.
-fn as_bad(now: &Shown, found: &Shown, prey: Prey) -> bool {
-    match prey {
-        Prey::Rules => now.rule == found.rule,
-        Prey::Loss => now.rule.is_none() && now.loss >= 0.8 * found.loss,
+/// Whether a day breaks the same rule, or loses nearly as much, as the one that was found.
+fn is_as_bad(outcome: &DayOutcome, found: &DayOutcome, goal: Goal) -> bool {
+    match goal {
+        Goal::BrokenRule => outcome.rule == found.rule,
+        Goal::Loss => outcome.rule.is_none() && outcome.loss >= 0.8 * found.loss,
     }
 }
 
-/// Smaller days, the greatest steps first.
-fn smaller(e: &Experiment) -> Vec<Experiment> {
-    let mut all = Vec::new();
-    let mut with = |change: &dyn Fn(&mut World)| {
-        let mut less = e.clone();
-        change(&mut less.world);
-        if less.world != e.world && less.world.check().is_ok() {
-            all.push(less);
+/// The experiments that are one step smaller, the largest steps first.
+fn smaller_experiments(experiment: &Experiment) -> Vec<Experiment> {
+    let mut candidates = Vec::new();
+    let mut add_with = |change: &dyn Fn(&mut World)| {
+        let mut candidate = experiment.clone();
+        change(&mut candidate.world);
+        if candidate.world != experiment.world && candidate.world.check().is_ok() {
+            candidates.push(candidate);
         }
     };
-    for i in 0..e.world.faults.len() {
-        with(&|w| {
-            w.faults.remove(i);
+    for index in 0..experiment.world.faults.len() {
+        add_with(&|world| {
+            world.faults.remove(index);
         });
     }
-    for senders in [1, e.world.senders.count / 2, e.world.senders.count - 1] {
-        with(&|w| w.senders.count = senders.max(1));
+    for senders in [1, experiment.world.senders.count / 2, experiment.world.senders.count - 1] {
+        add_with(&|world| world.senders.count = senders.max(1));
     }
-    for many in
-        [1, e.world.destinations.count / 4, e.world.destinations.count / 2, e.world.destinations.count - 1]
-    {
-        with(&|w| {
-            let many = many.max(1);
-            // As much for each as before.
-            w.clients.rate *= many as f64 / w.destinations.count as f64;
-            w.destinations.count = many;
+    for destinations in [
+        1,
+        experiment.world.destinations.count / 4,
+        experiment.world.destinations.count / 2,
+        experiment.world.destinations.count - 1,
+    ] {
+        add_with(&|world| {
+            let destinations = destinations.max(1);
+            // The rate for each destination stays the same.
+            world.clients.rate *= destinations as f64 / world.destinations.count as f64;
+            world.destinations.count = destinations;
         });
     }
-    for part in [0.5, 0.75, 0.9] {
-        with(&|w| w.day.length_s = (w.day.length_s * part * 10.0).ceil() / 10.0);
+    for factor in [0.5, 0.75, 0.9] {
+        add_with(&|world| world.day.length_s = (world.day.length_s * factor * 10.0).ceil() / 10.0);
     }
-    with(&|w| (w.day.shuffle_seed, w.day.tick_us) = (0, 0));
-    with(&|w| w.day.shuffle_seed = 0);
-    with(&|w| w.clients.clump_share = 0.0);
-    with(&|w| (w.clients.withdraw_share, w.clients.short_ttl_share) = (0.0, 0.0));
-    with(&|w| w.destination_kinds.truncate(1));
-    with(&|w| w.event_types.truncate(1));
-    with(&|w| w.clients.rate = (w.clients.rate * 0.5).max(0.1));
-    for i in 0..e.world.faults.len() {
-        with(&|w| w.faults[i].duration_s = (w.faults[i].duration_s * 50.0).ceil() / 100.0);
+    add_with(&|world| (world.day.shuffle_seed, world.day.tick_us) = (0, 0));
+    add_with(&|world| world.day.shuffle_seed = 0);
+    add_with(&|world| world.clients.clump_share = 0.0);
+    add_with(&|world| (world.clients.withdraw_share, world.clients.short_ttl_share) = (0.0, 0.0));
+    add_with(&|world| world.destination_kinds.truncate(1));
+    add_with(&|world| world.event_types.truncate(1));
+    add_with(&|world| world.clients.rate = (world.clients.rate * 0.5).max(0.1));
+    for index in 0..experiment.world.faults.len() {
+        add_with(&|world| {
+            world.faults[index].duration_s = (world.faults[index].duration_s * 50.0).ceil() / 100.0
+        });
     }
-    all
+    candidates
 }
 
-/// Makes a day smaller for as long as it shows as much. Also gives how many days that took.
-pub fn shrink(e: Experiment, found: &Shown, prey: Prey) -> Result<(Experiment, Shown, u64), String> {
-    let (mut best, mut last, mut played) = (e, found.clone(), 0);
-    // Each step is smaller by a part, so that few dozen come about; the bound guards against steps without end.
+/// Makes an experiment smaller for as long as its day stays as bad. Returns it with its outcome, and how many days were
+/// simulated.
+pub fn shrink(
+    experiment: Experiment, found: &DayOutcome, goal: Goal,
+) -> Result<(Experiment, DayOutcome, u64), String> {
+    let (mut smallest, mut smallest_outcome, mut simulated_days) = (experiment, found.clone(), 0);
+    // Each step removes a good part, so a few dozen steps are usual; the bound guards against an endless loop.
     for _ in 0..200 {
         let mut next = None;
-        for less in smaller(&best) {
-            if STOP.load(Ordering::Relaxed) {
-                return Ok((best, last, played));
+        for candidate in smaller_experiments(&smallest) {
+            if STOP_REQUESTED.load(Ordering::Relaxed) {
+                return Ok((smallest, smallest_outcome, simulated_days));
             }
-            played += 1;
-            let now = look(&less, prey)?;
-            if as_bad(&now, found, prey) {
-                next = Some((less, now));
+            simulated_days += 1;
+            let outcome = evaluate(&candidate, goal)?;
+            if is_as_bad(&outcome, found, goal) {
+                next = Some((candidate, outcome));
                 break;
             }
         }
         match next {
-            Some(n) => (best, last) = n,
+            Some(next) => (smallest, smallest_outcome) = next,
             None => break,
         }
     }
-    Ok((best, last, played))
+    Ok((smallest, smallest_outcome, simulated_days))
 }
 
-/// Plays `days` days drawn by chance, and gives the worst: a rule broken, else the greatest loss.
-pub fn hunt(e: &Experiment, days: u64, seed: u64, prey: Prey) -> Result<Option<(Experiment, Shown)>, String> {
+/// Simulates up to `days` random experiments. Returns the first that breaks a rule, or the one with the greatest loss, by the
+/// goal.
+pub fn hunt(
+    experiment: &Experiment, days: u64, seed: u64, goal: Goal,
+) -> Result<Option<(Experiment, DayOutcome)>, String> {
     let bar = ProgressBar::new(days);
     let style = ProgressStyle::with_template("{bar:30} {pos} of {len} days, {eta} left {msg}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
-    let mut worst: Option<(Experiment, Shown)> = None;
-    // In parts, so that a rule broken early ends the hunt early, and the same one is found on any machine.
+    let mut worst: Option<(Experiment, DayOutcome)> = None;
+    // In batches, so that a rule broken early ends the hunt early, and the same day is found on any machine.
     for first in (0..days).step_by(32) {
-        if STOP.load(Ordering::Relaxed) {
+        if STOP_REQUESTED.load(Ordering::Relaxed) {
             break;
         }
-        let part: Vec<u64> = (first..(first + 32).min(days)).collect();
-        let look_at = |i: &u64| {
-            let day = draw(e, seed + i);
-            let shown = look(&day, prey)?;
+        let batch: Vec<u64> = (first..(first + 32).min(days)).collect();
+        let evaluate_random = |i: &u64| {
+            let experiment = random_experiment(experiment, seed + i);
+            let outcome = evaluate(&experiment, goal)?;
             bar.inc(1);
-            Ok((day, shown))
+            Ok((experiment, outcome))
         };
-        let seen: Result<Vec<(Experiment, Shown)>, String> = part.par_iter().map(look_at).collect();
-        for (day, shown) in seen? {
-            if prey == Prey::Rules {
-                if shown.rule.is_some() {
+        let batch_outcomes: Result<Vec<(Experiment, DayOutcome)>, String> =
+            batch.par_iter().map(evaluate_random).collect();
+        for (experiment, outcome) in batch_outcomes? {
+            if goal == Goal::BrokenRule {
+                if outcome.rule.is_some() {
                     bar.finish_and_clear();
-                    return Ok(Some((day, shown)));
+                    return Ok(Some((experiment, outcome)));
                 }
-            } else if shown.rule.is_none() && worst.as_ref().is_none_or(|w| shown.loss > w.1.loss) {
-                worst = Some((day, shown));
+            } else if outcome.rule.is_none() && worst.as_ref().is_none_or(|w| outcome.loss > w.1.loss) {
+                worst = Some((experiment, outcome));
             }
         }
     }
@@ -221,21 +238,23 @@
     Ok(worst)
 }
 
-/// The file of a day found.
-pub fn file(mut e: Experiment, shown: &Shown) -> Result<String, String> {
-    e.name = format!("{}-found", e.name);
-    e.about = match shown.rule {
+/// The experiment file that `replay` reads, with the outcome to reproduce.
+pub fn replay_file(mut experiment: Experiment, outcome: &DayOutcome) -> Result<String, String> {
+    experiment.name = format!("{}-found", experiment.name);
+    experiment.about = match outcome.rule {
         Some(rule) => format!("found by a hunt: breaks {rule:?}"),
-        None => format!("found by a hunt: {:.3} of the value less than {}", shown.loss, e.baseline),
+        None => {
+            format!("found by a hunt: {:.3} of the value less than {}", outcome.loss, experiment.baseline)
+        }
     };
-    (e.seeds, e.found) = (
+    (experiment.seeds, experiment.found) = (
         1,
         Some(Found {
-            seed: e.seed,
-            hash: format!("{:016x}", shown.hash),
-            rule: shown.rule,
-            loss: shown.loss,
+            seed: experiment.seed,
+            hash: format!("{:016x}", outcome.hash),
+            rule: outcome.rule,
+            loss: outcome.loss,
         }),
     );
-    toml::to_string(&e).map_err(|e| e.to_string())
+    toml::to_string(&experiment).map_err(|e| e.to_string())
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -4,15 +4,15 @@
 mod experiment;
 mod fleet;
 mod hunt;
-mod play;
 mod plot;
 mod results;
+mod simulate;
 
 use bpaf::Bpaf;
 use experiment::Experiment;
-use hunt::Prey;
-use play::{Row, STOP, Task};
-use results::{Folder, Summary};
+use hunt::Goal;
+use results::{ResultFolder, Summary};
+use simulate::{DayResult, DayTask, STOP_REQUESTED};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -20,117 +20,119 @@
 
 /// Experiments on scalebarrow in simulated time.
 ///
-/// Exit codes: 0 done, 1 a rule was broken or days differ, 2 something could not be read, written or played.
+/// A day is one simulation of an experiment with one seed.
+///
+/// Exit codes: 0 success, 1 a rule was broken or days differ, 2 a file could not be read, written or used.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 enum Command {
-    /// Play an experiment's day, once for each seed, and draw it
+    /// Simulate an experiment once for each seed and plot the results
     #[bpaf(command)]
     Run {
-        /// The first seed; the file's where none is given
+        /// The first seed [default: the one in the file]
         #[bpaf(long, argument("N"))]
         seed: Option<u64>,
         /// How many seeds
         #[bpaf(long, argument("N"))]
         seeds: Option<u64>,
-        /// What decides: module, random, round-robin, least-outstanding, two-choices, straight
+        /// The policy: module, random, round-robin, least-outstanding, two-choices, straight
         #[bpaf(long, argument("NAME"))]
         policy: Option<String>,
-        /// Where the results go
+        /// The folder for the results
         #[bpaf(long, argument("DIR"), fallback("lab-out".into()), debug_fallback)]
         out: PathBuf,
-        /// The experiment
+        /// The experiment file
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Play an experiment at each value of the fields that its sweeps name, one day at a time where cost is measured
+    /// Simulate an experiment at each value of the fields that its sweeps name, one day at a time, so that times are comparable
     #[bpaf(command)]
     Sweep {
-        /// Sets a field to a value, in TOML: may be given more than once
+        /// Set a field to a value, written as in TOML; may be given more than once
         #[bpaf(long, argument("FIELD=VALUE"))]
         set: Vec<String>,
-        /// Also play the baseline
+        /// Also simulate the baseline
         #[bpaf(long)]
         baseline: bool,
-        /// Days on all cores at once: faster, but their times are no measurement
+        /// Simulate on all cores at once: faster, but the measured times are meaningless
         #[bpaf(long)]
         parallel: bool,
-        /// Where the results go
+        /// The folder for the results
         #[bpaf(long, argument("DIR"), fallback("lab-out".into()), debug_fallback)]
         out: PathBuf,
-        /// The experiment
+        /// The experiment file
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Play two policies on the same days and print the differences with their confidence intervals
+    /// Simulate two policies with the same seeds and print the mean differences with confidence intervals
     #[bpaf(command)]
     Compare {
         /// How many seeds
         #[bpaf(long, argument("N"))]
         seeds: Option<u64>,
-        /// Against which policy; the file's baseline where none is given
+        /// The policy to compare with [default: the baseline in the file]
         #[bpaf(long, argument("NAME"))]
         with: Option<String>,
-        /// Where the results go
+        /// The folder for the results
         #[bpaf(long, argument("DIR"), fallback("lab-out".into()), debug_fallback)]
         out: PathBuf,
-        /// The experiment
+        /// The experiment file
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Look for a day on which a rule breaks, make it small and write it to a file
+    /// Search random variants of an experiment for one that breaks a rule, shrink it and write it to a file
     #[bpaf(command)]
     Hunt {
-        /// How many days to play at most
+        /// How many days to simulate at most
         #[bpaf(long, argument("N"), fallback(200), display_fallback)]
         days: u64,
         /// The first seed
         #[bpaf(long, argument("N"), fallback(1), display_fallback)]
         seed: u64,
-        /// Look for the greatest loss against the baseline instead of a broken rule
+        /// Search for the greatest loss of value against the baseline instead of a broken rule
         #[bpaf(long)]
         loss: bool,
-        /// What decides, where not what the file says
+        /// The policy [default: the one in the file]
         #[bpaf(long, argument("NAME"))]
         policy: Option<String>,
-        /// Where the day found is written
+        /// The experiment file to write
         #[bpaf(long, argument("FILE"), fallback("found.toml".into()), debug_fallback)]
         out: PathBuf,
-        /// The experiment to begin with
+        /// The experiment file to vary
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Play a day that a hunt found and say whether it is as it was
+    /// Simulate a day that a hunt found and report whether the result is the same
     #[bpaf(command)]
     Replay {
-        /// Write the event log there, one JSON line an event
+        /// Write the event log to this file, one JSON line for each event
         #[bpaf(long, argument("FILE"))]
         events: Option<PathBuf>,
-        /// The day found
+        /// The file that the hunt wrote
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Say which days of two folders are the same event for event, as a change that alters no decision leaves them
+    /// Compare the event logs of two folders of results by hash: they are equal if a change of the code altered no decision
     #[bpaf(command)]
     Same {
-        /// The folder from before a change
+        /// The folder with results from before a change
         #[bpaf(positional("DIR"))]
         before: PathBuf,
-        /// The folder from after it
+        /// The folder with results from after it
         #[bpaf(positional("DIR"))]
         after: PathBuf,
     },
-    /// Count across a fleet what its senders logged at debug: calls by outcome, connections, calls for the list
+    /// Count calls by outcome, connections and endpoint list requests in the debug logs of a fleet of senders
     #[bpaf(command)]
     Fleet {
-        /// Seconds that are counted together
+        /// The length of the spans of time to count by, in seconds
         #[bpaf(long, argument("SECONDS"), guard(|s: &f64| *s >= 0.001 && s.is_finite(), "must be 0.001 at least"), fallback(1.0), display_fallback)]
         span: f64,
         /// The folder with one `*.log` for each sender
         #[bpaf(positional("DIR"))]
         dir: PathBuf,
     },
-    /// Draw the results in a folder again
+    /// Plot the results in a folder again
     #[bpaf(command)]
     Plot {
         /// The folder that `run`, `sweep` or `compare` wrote
@@ -155,30 +157,31 @@
             return ExitCode::from(if failure.exit_code() == 0 { 0 } else { 2 });
         }
     };
-    let heard = ctrlc::set_handler(|| {
-        // A second one ends at once.
-        if STOP.swap(true, Ordering::Relaxed) {
+    let handler_set = ctrlc::set_handler(|| {
+        // A second Ctrl-C ends the program at once.
+        if STOP_REQUESTED.swap(true, Ordering::Relaxed) {
             std::process::exit(130);
         }
     });
-    if let Err(e) = heard {
-        tracing::warn!("Ctrl-C ends at once: {e}");
+    if let Err(e) = handler_set {
+        tracing::warn!("cannot handle Ctrl-C, which will end the program at once: {e}");
     }
-    match carry_out(command) {
+    match execute(command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(why) => {
-            eprintln!("scalebarrow-lab: {why}");
+        Err(reason) => {
+            eprintln!("scalebarrow-lab: {reason}");
             ExitCode::from(2)
         }
     }
 }
 
-fn read(file: &Path) -> Result<(Experiment, toml::Value), String> {
+fn read_experiment(file: &Path) -> Result<(Experiment, toml::Value), String> {
     Experiment::read(file).map_err(|e| e.to_string())
 }
 
-fn known(policy: &str) -> Result<(), String> {
+/// Checks a policy's name from the command line.
+fn check_policy(policy: &str) -> Result<(), String> {
     let names = scalebarrow_emulator::baselines::POLICY_NAMES;
     if names.contains(&policy) {
         Ok(())
@@ -187,125 +190,141 @@
     }
 }
 
-/// True where no rule was broken.
-fn carry_out(command: Command) -> Result<bool, String> {
+/// Executes a verb. False if a rule was broken or days differ.
+fn execute(command: Command) -> Result<bool, String> {
     match command {
         Command::Run { seed, seeds, policy, out, file } => {
-            let (e, _) = read(&file)?;
-            let policy = policy.unwrap_or_else(|| e.policy.clone());
-            known(&policy)?;
-            let first = seed.unwrap_or(e.seed);
-            // One seed named alone is one day.
-            let many = seeds.unwrap_or(if seed.is_some() { 1 } else { e.seeds });
-            let task = |seed| Task { experiment: e.clone(), point: Vec::new(), policy: policy.clone(), seed };
-            finish(&e, (first..first + many).map(task).collect(), false, &out)
+            let (experiment, _) = read_experiment(&file)?;
+            let policy = policy.unwrap_or_else(|| experiment.policy.clone());
+            check_policy(&policy)?;
+            let first_seed = seed.unwrap_or(experiment.seed);
+            // A seed without a number of seeds means one day.
+            let count = seeds.unwrap_or(if seed.is_some() { 1 } else { experiment.seeds });
+            let task = |seed| DayTask {
+                experiment: experiment.clone(),
+                point: Vec::new(),
+                policy: policy.clone(),
+                seed,
+            };
+            run_experiment(&experiment, (first_seed..first_seed + count).map(task).collect(), false, &out)
         }
         Command::Sweep { set, baseline, parallel, out, file } => {
-            let (mut e, mut value) = read(&file)?;
-            let set = set.iter().map(|s| setting(s)).collect::<Result<Vec<_>, _>>()?;
-            if !set.is_empty() {
-                e = Experiment::with(&value, &set)?;
-                value = toml::Value::try_from(&e).map_err(|e| e.to_string())?;
+            let (mut experiment, mut value) = read_experiment(&file)?;
+            let settings = set.iter().map(|text| parse_setting(text)).collect::<Result<Vec<_>, _>>()?;
+            if !settings.is_empty() {
+                experiment = Experiment::with(&value, &settings)?;
+                value = toml::Value::try_from(&experiment).map_err(|e| e.to_string())?;
             }
-            if e.sweeps.is_empty() {
-                return Err(format!(
-                    "{}: has no [[sweep]] that names a field and its values",
-                    file.display()
-                ));
+            if experiment.sweeps.is_empty() {
+                return Err(format!("{}: has no [[sweep]] with a field and its values", file.display()));
             }
             let mut tasks = Vec::new();
-            for point in e.points() {
-                let at = Experiment::with(&value, &point)?;
-                let policies = [Some(at.policy.clone()), baseline.then(|| at.baseline.clone())];
+            for point in experiment.points() {
+                let variant = Experiment::with(&value, &point)?;
+                let policies = [Some(variant.policy.clone()), baseline.then(|| variant.baseline.clone())];
                 for policy in policies.into_iter().flatten() {
-                    for seed in at.seed..at.seed + at.seeds {
-                        let (experiment, point) = (at.clone(), point.clone());
-                        tasks.push(Task { experiment, point, policy: policy.clone(), seed });
+                    for seed in variant.seed..variant.seed + variant.seeds {
+                        let (experiment, point) = (variant.clone(), point.clone());
+                        tasks.push(DayTask { experiment, point, policy: policy.clone(), seed });
                     }
                 }
             }
-            finish(&e, tasks, !parallel, &out)
+            run_experiment(&experiment, tasks, !parallel, &out)
         }
         Command::Compare { seeds, with, out, file } => {
-            let (e, _) = read(&file)?;
-            let other = with.unwrap_or_else(|| e.baseline.clone());
-            known(&other)?;
-            // Fewer than ten pairs give intervals that say little.
-            let many = seeds.unwrap_or(e.seeds.max(10));
+            let (experiment, _) = read_experiment(&file)?;
+            let other_policy = with.unwrap_or_else(|| experiment.baseline.clone());
+            check_policy(&other_policy)?;
+            // With fewer than ten pairs the intervals are too wide to tell anything.
+            let count = seeds.unwrap_or(experiment.seeds.max(10));
             let mut tasks = Vec::new();
-            for seed in e.seed..e.seed + many {
-                for policy in [&e.policy, &other] {
-                    let (experiment, point, policy) = (e.clone(), Vec::new(), policy.clone());
-                    tasks.push(Task { experiment, point, policy, seed });
+            for seed in experiment.seed..experiment.seed + count {
+                for policy in [&experiment.policy, &other_policy] {
+                    let (experiment, point, policy) = (experiment.clone(), Vec::new(), policy.clone());
+                    tasks.push(DayTask { experiment, point, policy, seed });
                 }
             }
-            let rows = played(&e, tasks, false, &out)?;
-            let (ours, theirs): (Vec<Row>, Vec<Row>) = rows.into_iter().partition(|r| r.policy == e.policy);
-            let all = compare::compare(&ours, &theirs);
-            println!("\n{} less {other}, paired over {} days:", e.policy, ours.len().min(theirs.len()));
+            let days = run_and_save(&experiment, tasks, false, &out)?;
+            let (ours, theirs): (Vec<DayResult>, Vec<DayResult>) =
+                days.into_iter().partition(|day| day.policy == experiment.policy);
+            let differences = compare::compare(&ours, &theirs);
+            println!(
+                "\n{} less {other_policy}, paired over {} days:",
+                experiment.policy,
+                ours.len().min(theirs.len())
+            );
             println!("{:<14} {:>12} {:>26}", "figure", "mean", "95% confidence interval");
-            for d in &all {
-                println!("{:<14} {:>12.4} {:>12.4} to {:>10.4}", d.figure, d.mean, d.low, d.high);
+            for difference in &differences {
+                println!(
+                    "{:<14} {:>12.4} {:>12.4} to {:>10.4}",
+                    difference.figure, difference.mean, difference.low, difference.high
+                );
             }
-            let text = serde_json::to_string_pretty(&all).map_err(|e| e.to_string())?;
-            let to = out.join("differences.json");
-            std::fs::write(&to, text + "\n").map_err(|e| format!("{}: {e}", to.display()))?;
-            Ok(ours.iter().all(|r| r.broken.is_empty()))
+            let text = serde_json::to_string_pretty(&differences).map_err(|e| e.to_string())?;
+            let path = out.join("differences.json");
+            std::fs::write(&path, text + "\n").map_err(|e| format!("{}: {e}", path.display()))?;
+            Ok(ours.iter().all(|day| day.violations.is_empty()))
         }
         Command::Hunt { days, seed, loss, policy, out, file } => {
-            let (mut e, _) = read(&file)?;
+            let (mut experiment, _) = read_experiment(&file)?;
             if let Some(policy) = policy {
-                known(&policy)?;
-                e.policy = policy;
+                check_policy(&policy)?;
+                experiment.policy = policy;
             }
-            let prey = if loss { Prey::Loss } else { Prey::Rules };
-            let Some((day, shown)) = hunt::hunt(&e, days, seed, prey)? else {
+            let goal = if loss { Goal::Loss } else { Goal::BrokenRule };
+            let Some((found, outcome)) = hunt::hunt(&experiment, days, seed, goal)? else {
                 println!("{days} days, no rule broken");
                 return Ok(true);
             };
-            let (small, last, played) = hunt::shrink(day, &shown, prey)?;
-            std::fs::write(&out, hunt::file(small.clone(), &last)?)
+            let (smallest, outcome, simulated_days) = hunt::shrink(found, &outcome, goal)?;
+            std::fs::write(&out, hunt::replay_file(smallest.clone(), &outcome)?)
                 .map_err(|e| format!("{}: {e}", out.display()))?;
-            match last.rule {
-                Some(rule) => println!("seed {} breaks {rule:?}", small.seed),
+            match outcome.rule {
+                Some(rule) => println!("seed {} breaks {rule:?}", smallest.seed),
                 None => {
-                    println!("seed {} loses {:.3} of the value against {}", small.seed, last.loss, e.baseline)
+                    println!(
+                        "seed {} loses {:.3} of the value against {}",
+                        smallest.seed, outcome.loss, experiment.baseline
+                    )
                 }
             }
             println!(
-                "made smaller over {played} days: {} senders, {} destinations, {} troubles, {} s; `replay {}` plays it",
-                small.world.senders.count,
-                small.world.destinations.count,
-                small.world.faults.len(),
-                small.world.day.length_s,
+                "shrunk in {simulated_days} days: {} senders, {} destinations, {} faults, {} s; `replay {}` simulates it again",
+                smallest.world.senders.count,
+                smallest.world.destinations.count,
+                smallest.world.faults.len(),
+                smallest.world.day.length_s,
                 out.display()
             );
-            Ok(last.rule.is_none())
+            Ok(outcome.rule.is_none())
         }
         Command::Replay { events, file } => {
-            let (e, _) = read(&file)?;
-            let found = e.found.clone().ok_or_else(|| {
-                format!("{}: has no [found]; `run` plays an experiment that no hunt wrote", file.display())
+            let (experiment, _) = read_experiment(&file)?;
+            let found = experiment.found.clone().ok_or_else(|| {
+                format!("{}: has no [found]; use `run` for a file that `hunt` did not write", file.display())
             })?;
-            let at = |p: &Path, e: std::io::Error| format!("{}: {e}", p.display());
+            let io_error = |path: &Path, e: std::io::Error| format!("{}: {e}", path.display());
             let mut log = match &events {
-                Some(p) => Some(std::io::BufWriter::new(std::fs::File::create(p).map_err(|e| at(p, e))?)),
+                Some(path) => {
+                    Some(std::io::BufWriter::new(std::fs::File::create(path).map_err(|e| io_error(path, e))?))
+                }
                 None => None,
             };
-            let mut failed = None;
-            let (report, ..) = play::day(&e, &e.policy, found.seed, &mut |line| {
-                let Some(log) = &mut log else { return };
-                let written = serde_json::to_writer(&mut *log, line).map_err(std::io::Error::from);
-                if let Err(e) = written.and_then(|()| log.write_all(b"\n")) {
-                    failed = Some(e);
-                }
-            })?;
-            let flushed = log.map_or(Ok(()), |mut l| l.flush());
-            if let (Some(p), Some(e)) = (&events, failed.or(flushed.err())) {
-                return Err(at(p, e));
+            let mut write_error = None;
+            let (report, ..) =
+                simulate::simulate_day(&experiment, &experiment.policy, found.seed, &mut |entry| {
+                    let Some(log) = &mut log else { return };
+                    let written = serde_json::to_writer(&mut *log, entry).map_err(std::io::Error::from);
+                    if let Err(e) = written.and_then(|()| log.write_all(b"\n")) {
+                        write_error = Some(e);
+                    }
+                })?;
+            let flushed = log.map_or(Ok(()), |mut log| log.flush());
+            if let (Some(path), Some(e)) = (&events, write_error.or(flushed.err())) {
+                return Err(io_error(path, e));
             }
-            for b in &report.violations {
-                println!("{:>9.3} s {:?}: {}", b.at_s, b.rule, b.text);
+            for violation in &report.violations {
+                println!("{:>9.3} s {:?}: {}", violation.at_s, violation.rule, violation.text);
             }
             let same = format!("{:016x}", report.hash) == found.hash;
             println!(
@@ -316,7 +335,7 @@
                 if same {
                     "the day as it was found"
                 } else {
-                    "not the day that was found: policy or model have changed"
+                    "not the day that was found: the policy or the model has changed"
                 }
             );
             Ok(report.violations.is_empty())
@@ -327,77 +346,89 @@
         }
         Command::Same { before, after } => {
             let (old, new) = (results::read(&before)?.0, results::read(&after)?.0);
-            let (mut same, mut other, mut missing) = (0, 0, 0);
-            for a in &old {
-                let alike = |b: &&Row| {
-                    (&b.experiment, &b.point, &b.policy, b.seed)
-                        == (&a.experiment, &a.point, &a.policy, a.seed)
+            let (mut same, mut different, mut missing) = (0, 0, 0);
+            for old_day in &old {
+                let same_task = |new_day: &&DayResult| {
+                    (&new_day.experiment, &new_day.point, &new_day.policy, new_day.seed)
+                        == (&old_day.experiment, &old_day.point, &old_day.policy, old_day.seed)
                 };
-                match new.iter().find(alike) {
+                match new.iter().find(same_task) {
                     None => missing += 1,
-                    Some(b) if a.hash == b.hash => same += 1,
-                    Some(b) => {
-                        other += 1;
+                    Some(new_day) if old_day.hash == new_day.hash => same += 1,
+                    Some(new_day) => {
+                        different += 1;
                         println!(
                             "{} {:?} seed {}: value {:.4}, then {:.4}",
-                            a.experiment, a.point, a.seed, a.value, b.value
+                            old_day.experiment, old_day.point, old_day.seed, old_day.value, new_day.value
                         );
                     }
                 }
             }
-            println!("{same} days are the same, {other} differ, {missing} are not in {}", after.display());
-            Ok(other == 0 && missing == 0)
+            println!(
+                "{same} days are the same, {different} differ, {missing} are not in {}",
+                after.display()
+            );
+            Ok(different == 0 && missing == 0)
         }
         Command::Plot { dir } => {
-            let (rows, summary) = results::read(&dir)?;
-            for f in plot::all(&rows, summary.as_ref(), &dir)? {
-                println!("{}", f.display());
+            let (days, summary) = results::read(&dir)?;
+            for path in plot::write_all(&days, summary.as_ref(), &dir)? {
+                println!("{}", path.display());
             }
             Ok(true)
         }
     }
 }
 
-/// `FIELD=VALUE`, with the value as TOML, or as a text where it is none.
-fn setting(s: &str) -> Result<(String, toml::Value), String> {
-    let (field, value) = s.split_once('=').ok_or_else(|| format!("--set {s}: needs FIELD=VALUE"))?;
-    let read: Result<toml::Table, _> = toml::from_str(&format!("v = {value}"));
-    let value = read.ok().and_then(|mut t| t.remove("v")).unwrap_or_else(|| value.into());
+/// Parses `FIELD=VALUE`. A value that is not TOML is taken as a string.
+fn parse_setting(text: &str) -> Result<(String, toml::Value), String> {
+    let (field, value) = text.split_once('=').ok_or_else(|| format!("--set {text}: needs FIELD=VALUE"))?;
+    let parsed: Result<toml::Table, _> = toml::from_str(&format!("v = {value}"));
+    let value = parsed.ok().and_then(|mut table| table.remove("v")).unwrap_or_else(|| value.into());
     Ok((field.trim().into(), value))
 }
 
-fn played(e: &Experiment, tasks: Vec<Task>, one_by_one: bool, out: &Path) -> Result<Vec<Row>, String> {
-    let folder = Folder::make(out)?;
-    let rows = play::all(tasks, one_by_one, &|row| folder.add(row))?;
-    let summary = Summary::of(e, &rows);
-    folder.summary(&summary)?;
+/// Simulates the days, writes and prints their results, and plots them.
+fn run_and_save(
+    experiment: &Experiment, tasks: Vec<DayTask>, sequential: bool, out: &Path,
+) -> Result<Vec<DayResult>, String> {
+    let folder = ResultFolder::create(out)?;
+    let days = simulate::run_tasks(tasks, sequential, &|day| folder.append(day))?;
+    let summary = Summary::of(experiment, &days);
+    folder.write_summary(&summary)?;
     summary.print();
-    for r in rows.iter().filter(|r| !r.broken.is_empty()) {
-        for b in r.broken.iter().take(3) {
-            println!("seed {} {}: {:.3} s {:?}: {}", r.seed, r.policy, b.at_s, b.rule, b.text);
+    for day in days.iter().filter(|day| !day.violations.is_empty()) {
+        for violation in day.violations.iter().take(3) {
+            println!(
+                "seed {} {}: {:.3} s {:?}: {}",
+                day.seed, day.policy, violation.at_s, violation.rule, violation.text
+            );
         }
     }
-    for line in rows.iter().flat_map(|r| r.lines.iter()).take(5) {
-        println!("policy: {line}");
+    for message in days.iter().flat_map(|day| day.policy_messages.iter()).take(5) {
+        println!("policy: {message}");
     }
-    if let Some(r) = rows.iter().find(|r| !r.little_holds) {
-        return Err(format!("seed {}: Little's law does not hold: the model is wrong there", r.seed));
+    if let Some(day) = days.iter().find(|day| !day.little_holds) {
+        return Err(format!("seed {}: Little's law does not hold, so the model is wrong", day.seed));
     }
-    if !rows.is_empty() {
-        for f in plot::all(&rows, Some(&summary), folder.dir())? {
-            println!("{}", f.display());
+    if !days.is_empty() {
+        for path in plot::write_all(&days, Some(&summary), folder.dir())? {
+            println!("{}", path.display());
         }
     }
-    if STOP.load(Ordering::Relaxed) {
-        println!("interrupted: {} days are finished", rows.len());
+    if STOP_REQUESTED.load(Ordering::Relaxed) {
+        println!("interrupted: {} days are finished", days.len());
     }
-    Ok(rows)
+    Ok(days)
 }
 
-fn finish(e: &Experiment, tasks: Vec<Task>, one_by_one: bool, out: &Path) -> Result<bool, String> {
-    // Baselines may break rules; what is asked is whether the policy does.
-    Ok(played(e, tasks, one_by_one, out)?
+/// Simulates the days and saves their results. False if the experiment's policy broke a rule.
+fn run_experiment(
+    experiment: &Experiment, tasks: Vec<DayTask>, sequential: bool, out: &Path,
+) -> Result<bool, String> {
+    // Baselines may break rules; only the policy of the experiment has to keep them.
+    Ok(run_and_save(experiment, tasks, sequential, out)?
         .iter()
-        .filter(|r| r.policy == e.policy)
-        .all(|r| r.broken.is_empty()))
+        .filter(|day| day.policy == experiment.policy)
+        .all(|day| day.violations.is_empty()))
 }
