--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -1,10 +1,12 @@
-//! Compares two policies that were simulated with the same seeds: the mean paired differences with confidence intervals.
+//! Compares two policies that were simulated with the same seeds: the mean paired differences with confidence
+//! intervals.
 
 use crate::simulate::DayResult;
 use serde::Serialize;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// The mean of paired differences with its 95% confidence interval by Student's t: an entry of `differences.json`.
+/// The mean of paired differences with its 95% confidence interval by Student's t: an entry of
+/// `differences.json`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Difference {
     /// The name of the figure that is compared, as `p99 ms`.
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,5 +1,5 @@
-//! The experiment file (TOML): the world to simulate, the policy to run in it and the fields that a sweep varies.
-//! Errors name the file, line and field.
+//! The experiment file (TOML): the world to simulate, the policy to run in it and the fields that a sweep
+//! varies. Errors name the file, line and field.
 
 use scalebarrow_emulator::baselines::{POLICY_NAMES, factory_by_name};
 use scalebarrow_emulator::{Rule, World};
@@ -92,7 +92,8 @@
 }
 
 impl Experiment {
-    /// Reads and checks a file. Also returns it as a TOML value, in which [`Experiment::with`] can set fields.
+    /// Reads and checks a file. Also returns it as a TOML value, in which [`Experiment::with`] can set
+    /// fields.
     pub fn read(file: &Path) -> Result<(Experiment, Value), ExperimentError> {
         let error = |line, reason| ExperimentError { file: file.into(), line, reason };
         let text = std::fs::read_to_string(file).map_err(|e| error(None, e.to_string()))?;
@@ -140,7 +141,8 @@
         Ok(experiment)
     }
 
-    /// All combinations of the sweeps' values; the first sweep varies slowest. Without sweeps there is one, empty.
+    /// All combinations of the sweeps' values; the first sweep varies slowest. Without sweeps there is one,
+    /// empty.
     pub fn points(&self) -> Vec<Vec<(String, Value)>> {
         let mut points = vec![Vec::new()];
         for sweep in &self.sweeps {
@@ -158,9 +160,9 @@
     }
 }
 
-/// Sets the field at a path; a part that is a number is an index into an array. Missing tables are created, so that a
-/// field that the file leaves at its default can be varied too; a field that does not exist is reported when the
-/// experiment is read from the value.
+/// Sets the field at a path; a part that is a number is an index into an array. Missing tables are created,
+/// so that a field that the file leaves at its default can be varied too; a field that does not exist is
+/// reported when the experiment is read from the value.
 fn set_field(value: &mut Value, field: &str, new_value: Value) -> Result<(), String> {
     let mut target = value;
     for part in field.split('.') {
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -1,12 +1,12 @@
-//! Counts over the logs of a fleet of senders (`serve --log debug`): calls by outcome at each destination, webhooks given
-//! up, new connections, requests for the endpoint list, and connections open at each endpoint.
+//! Counts over the logs of a fleet of senders (`serve --log debug`): calls by outcome at each destination,
+//! webhooks given up, new connections, requests for the endpoint list, and connections open at each endpoint.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 use std::path::Path;
 
-/// The outcomes of calls that are counted, in the order of the table. The last is of calls that never ran because the
-/// connection could not be opened.
+/// The outcomes of calls that are counted, in the order of the table. The last is of calls that never ran
+/// because the connection could not be opened.
 const OUTCOMES: [&str; 6] = ["Delivered", "Full", "Failed", "TimedOut", "Reset", "ConnectFailed"];
 
 /// A log line that may be counted.
@@ -19,8 +19,8 @@
     fields: BTreeMap<&'a str, &'a str>,
 }
 
-/// Parses a log line; anything may come before its time. Other lines, as one that a sender was killed while writing, are
-/// skipped.
+/// Parses a log line; anything may come before its time. Other lines, as one that a sender was killed while
+/// writing, are skipped.
 fn parse_line(line: &str) -> Option<LogLine<'_>> {
     let mut words = line.split_ascii_whitespace();
     let time = words.find_map(|word| humantime::parse_rfc3339(word).ok())?;
@@ -88,7 +88,8 @@
             .collect();
         let first_at = lines.iter().map(|entry| entry.1.at_secs).min_by(f64::total_cmp)?;
         let mut fleet = FleetCounts { senders: logs.len(), span_secs, ..FleetCounts::default() };
-        // Most lines name only the endpoint; the lines of the endpoint list say which destination it belongs to.
+        // Most lines name only the endpoint; the lines of the endpoint list say which destination it belongs
+        // to.
         let destinations: BTreeMap<&str, u64> = lines
             .iter()
             .filter(|entry| entry.1.code == "endpoint")
@@ -135,7 +136,8 @@
         let mut open_now: BTreeMap<(u64, &str), BTreeMap<usize, u64>> = BTreeMap::new();
         for (_, sender, step, destination, endpoint) in changes {
             if step == 0 {
-                // The sender started: connections of its earlier process are closed, even if its log does not say so.
+                // The sender started: connections of its earlier process are closed, even if its log does not
+                // say so.
                 open_now.values_mut().for_each(|by_sender| {
                     by_sender.remove(&sender);
                 });
@@ -150,7 +152,8 @@
         }
     }
 
-    /// The counts as text tables: the fleet by span, each destination by span, and the connections of each endpoint.
+    /// The counts as text tables: the fleet by span, each destination by span, and the connections of each
+    /// endpoint.
     pub fn table(&self) -> String {
         let mut text = format!(
             "{} senders, spans of {} s\n\n{:>6} {:>9} {:>6} {:>6} {:>6} {:>6} {:>6} {:>7} {:>7} {:>8} {:>6} {:>9}\n",
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -1,5 +1,5 @@
-//! Searches random experiments for a day on which a rule is broken or on which the policy loses the most value against the
-//! baseline, and shrinks the experiment that it finds.
+//! Searches random experiments for a day on which a rule is broken or on which the policy loses the most
+//! value against the baseline, and shrinks the experiment that it finds.
 
 use crate::experiment::{Experiment, Found};
 use crate::simulate::{STOP_REQUESTED, simulate_day};
@@ -65,7 +65,7 @@
     let duration_s = (0.5 + day_length_s * 0.35 * rng.random::<f64>()).max(size);
     let share = if rng.random::<f64>() < 0.3 { 0.0 } else { 0.1 + 0.8 * rng.random::<f64>() };
     let period_s = if kind == FaultKind::Pauses { size * (2.0 + 6.0 * rng.random::<f64>()) } else { 0.0 };
-    // Rounded, since people read the file that this goes into.
+    // Rounded, so that the numbers in the file that people read are short.
     let round = |x: f64| (x * 100.0).round() / 100.0;
     let (start_s, duration_s) = (round(start_s), (duration_s * 100.0).ceil() / 100.0);
     let target = FaultTarget { share: round(share), ..FaultTarget::default() };
@@ -79,7 +79,7 @@
     }
 }
 
-/// The experiment with random faults, fewer senders and, in half of the cases, a coarse clock.
+/// The experiment with random faults, at most as many senders and, in half of the cases, a coarse clock.
 fn random_experiment(experiment: &Experiment, seed: u64) -> Experiment {
     let mut rng = generator(seed, "hunt");
     let mut experiment = experiment.clone();
@@ -91,7 +91,8 @@
     }
     world.senders.count = rng.random_range(1..=world.senders.count);
     world.faults.iter_mut().for_each(|fault| fault.target.senders.retain(|s| *s < world.senders.count));
-    // In half of the cases times are rounded to a grid, so that many events happen at one instant, in shuffled order.
+    // In half of the cases times are rounded to a grid, so that many events happen at one instant, in
+    // shuffled order.
     if rng.random::<bool>() {
         (world.day.tick_us, world.day.shuffle_seed) =
             ([100, 1_000, 5_000][rng.random_range(0..3)], rng.random_range(1..1_000));
@@ -99,8 +100,10 @@
     experiment
 }
 
+/// What a hunt looks at, from the reports of the policy and of the baseline on the same day.
 fn day_outcome(report: &Report, baseline: Option<&Report>) -> DayOutcome {
-    // A baseline that breaks a rule is no fair comparison, but its value still shows what could have been delivered.
+    // A baseline that breaks a rule is no fair comparison, but its value still shows what could have been
+    // delivered.
     let loss = baseline.map_or(0.0, |baseline| baseline.value - report.value);
     DayOutcome { rule: report.violations.first().map(|violation| violation.rule), loss, hash: report.hash }
 }
@@ -172,13 +175,14 @@
     candidates
 }
 
-/// Makes an experiment smaller for as long as its day stays as bad. Returns it with its outcome, and how many days were
-/// simulated.
+/// Makes an experiment smaller for as long as its day stays as bad. Returns it with its outcome, and how many
+/// days were simulated.
 pub fn shrink(
     experiment: Experiment, found: &DayOutcome, goal: Goal,
 ) -> Result<(Experiment, DayOutcome, u64), String> {
     let (mut smallest, mut smallest_outcome, mut simulated_days) = (experiment, found.clone(), 0);
-    // Each step removes a good part, so a few dozen steps are usual; the bound guards against an endless loop.
+    // Each step removes a good part, so a few dozen steps are usual; the bound guards against an endless
+    // loop.
     for _ in 0..200 {
         let mut next = None;
         for candidate in smaller_experiments(&smallest) {
@@ -200,8 +204,8 @@
     Ok((smallest, smallest_outcome, simulated_days))
 }
 
-/// Simulates up to `days` random experiments. Returns the first that breaks a rule, or the one with the greatest loss, by the
-/// goal.
+/// Simulates up to `days` random experiments. Returns the first that breaks a rule, or the one with the
+/// greatest loss, by the goal.
 pub fn hunt(
     experiment: &Experiment, days: u64, seed: u64, goal: Goal,
 ) -> Result<Option<(Experiment, DayOutcome)>, String> {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -45,7 +45,8 @@
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Simulate an experiment at each value of the fields that its sweeps name, one day at a time, so that times are comparable
+    /// Simulate an experiment at each value of the fields that its sweeps name, one day at a time, so that
+    /// times are comparable
     #[bpaf(command)]
     Sweep {
         /// Set a field to a value, written as in TOML; may be given more than once
@@ -112,7 +113,8 @@
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Compare the event logs of two folders of results by hash: they are equal if a change of the code altered no decision
+    /// Compare the event logs of two folders of results by hash: they are equal if a change of the code
+    /// altered no decision
     #[bpaf(command)]
     Same {
         /// The folder with results from before a change
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -1,5 +1,5 @@
-//! Plots results as SVG and PNG: latency by percentile, value over time with the periods of faults shaded, and the cost
-//! of a decision and the value against a field that a sweep varies.
+//! Plots results as SVG and PNG: latency by percentile, value over time with the periods of faults shaded,
+//! and the cost of a decision and the value against a field that a sweep varies.
 
 use crate::results::{Summary, group_by_policy_and_point};
 use crate::simulate::DayResult;
@@ -31,8 +31,8 @@
     pub y_includes: Option<(f64, f64)>,
 }
 
-/// The range of an axis that shows all values; those that are not finite, or not positive on a logarithmic axis, are left
-/// out.
+/// The range of an axis that shows all values; those that are not finite, or not positive on a logarithmic
+/// axis, are left out.
 fn axis_range(values: impl Iterator<Item = f64>, log: bool) -> (f64, f64) {
     let finite = values.filter(|v| v.is_finite() && (!log || *v > 0.0));
     let (low, high) =
@@ -61,7 +61,8 @@
         DB::ErrorType: 'static,
     {
         let error = |e: DrawingAreaErrorKind<DB::ErrorType>| e.to_string();
-        // A logarithmic axis is drawn linearly over the decimal logarithms of its values, and its labels are the values.
+        // A logarithmic axis is drawn linearly over the decimal logarithms of its values, and its labels are
+        // the values.
         let scaled = |v: f64, log: bool| if log { v.log10() } else { v };
         let drawable = |p: &&(f64, f64)| {
             p.0.is_finite() && p.1.is_finite() && (!self.log_x || p.0 > 0.0) && (!self.log_y || p.1 > 0.0)
@@ -153,7 +154,8 @@
     }
 }
 
-/// The x value of a percentile: the negative decimal logarithm of the share beyond it, which spreads the high percentiles.
+/// The x value of a percentile: the negative decimal logarithm of the share beyond it, which spreads the high
+/// percentiles.
 fn rarity(percentile: f64) -> f64 {
     -(1.0 - percentile / 100.0).max(1e-5).log10()
 }
@@ -194,7 +196,8 @@
     }
 }
 
-/// The value delivered over the time of the day, a line for each policy and point, with the periods of faults shaded.
+/// The value delivered over the time of the day, a line for each policy and point, with the periods of faults
+/// shaded.
 fn value_over_time_chart(days: &[DayResult], summary: Option<&Summary>, title: &str) -> Chart {
     let line = |(name, days): (String, Vec<&DayResult>)| {
         let window_count = days.iter().map(|day| day.windows.len()).max().unwrap_or(0);
@@ -224,7 +227,8 @@
     }
 }
 
-/// A figure over the field that the first sweep varies; nothing if there is no sweep or its values are not numbers.
+/// A figure over the field that the first sweep varies; nothing if there is no sweep or its values are not
+/// numbers.
 fn figure_by_field_chart(
     days: &[DayResult], y_title: &str, figure_name: &str, title: &str, log_y: bool,
     figure: impl Fn(&DayResult) -> f64,
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -1,4 +1,5 @@
-//! The folder with an experiment's results: `runs.jsonl`, with a JSON line for each simulated day, and `summary.json`.
+//! The folder with an experiment's results: `runs.jsonl`, with a JSON line for each simulated day, and
+//! `summary.json`.
 
 use crate::experiment::Experiment;
 use crate::simulate::DayResult;
@@ -38,8 +39,8 @@
     pub policies: Vec<PolicySummary>,
 }
 
-/// The results of one policy at one point of the sweep, over all seeds: means, sums of counts, and maxima of what is
-/// called peak or slowest.
+/// The results of one policy at one point of the sweep, over all seeds: means, sums of counts, and maxima of
+/// what is called peak or slowest.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PolicySummary {
     pub policy: String,
@@ -181,8 +182,8 @@
     }
 }
 
-/// The folder that results are written to. Each day's line is written as the day ends, so that an interrupted run leaves
-/// the finished days readable.
+/// The folder that results are written to. Each day's line is written as the day ends, so that an interrupted
+/// run leaves the finished days readable.
 pub struct ResultFolder {
     dir: PathBuf,
     runs: Mutex<File>,
@@ -219,8 +220,8 @@
     }
 }
 
-/// Reads the results in a folder, and the summary if there is a readable one. A line that is cut off, as an interrupted
-/// run leaves it, is skipped.
+/// Reads the results in a folder, and the summary if there is a readable one. A line that is cut off, as an
+/// interrupted run leaves it, is skipped.
 pub fn read(dir: &Path) -> Result<(Vec<DayResult>, Option<Summary>), String> {
     let file = dir.join("runs.jsonl");
     let runs =
--- a/crates/lab/src/simulate.rs
+++ b/crates/lab/src/simulate.rs
@@ -17,7 +17,8 @@
 /// Set by Ctrl-C: days in progress are finished, no others are started.
 pub static STOP_REQUESTED: AtomicBool = AtomicBool::new(false);
 
-/// The time that the policies of a day took to handle their inputs. Endpoint lists are measured apart from the rest.
+/// The time that the policies of a day took to handle their inputs. Endpoint lists are measured apart from
+/// the rest.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PolicyTime {
     /// All inputs except endpoint lists.
@@ -35,7 +36,8 @@
 }
 
 impl TimedPolicy {
-    fn measure(&mut self, call: impl FnOnce(&mut dyn Policy)) {
+    /// Makes a call to the policy and adds the time that it takes.
+    fn time(&mut self, call: impl FnOnce(&mut dyn Policy)) {
         let started_at = Instant::now();
         call(&mut *self.policy);
         let (elapsed, mut policy_time) = (started_at.elapsed(), self.policy_time.get());
@@ -62,19 +64,17 @@
         &mut self, now: f64, id: u64, event_type: &str, destination: u64, key: Option<&str>,
         customer: Option<&str>, ttl: f64, out: &mut dyn ActionSink,
     ) {
-        self.measure(|p| p.accept(now, id, event_type, destination, key, customer, ttl, out));
+        self.time(|p| p.accept(now, id, event_type, destination, key, customer, ttl, out));
     }
     fn resume(
         &mut self, now: f64, id: u64, event_type: &str, destination: u64, key: Option<&str>,
-        customer: Option<&str>, ttl: f64, tries: u32, last_attempt: Option<(&str, f64)>,
+        customer: Option<&str>, ttl: f64, tries: u32, last_run: Option<(&str, f64)>,
         out: &mut dyn ActionSink,
     ) {
-        self.measure(|p| {
-            p.resume(now, id, event_type, destination, key, customer, ttl, tries, last_attempt, out)
-        });
+        self.time(|p| p.resume(now, id, event_type, destination, key, customer, ttl, tries, last_run, out));
     }
     fn begin_shutdown(&mut self, now: f64, deadline: f64, out: &mut dyn ActionSink) {
-        self.measure(|policy| policy.begin_shutdown(now, deadline, out));
+        self.time(|policy| policy.begin_shutdown(now, deadline, out));
     }
     fn may_send(&self, now: f64, id: u64, endpoint: &str) -> bool {
         self.policy.may_send(now, id, endpoint)
@@ -83,16 +83,16 @@
         &mut self, now: f64, id: u64, endpoint: &str, outcome: Outcome, duration: f64, ended: bool,
         report: Option<(f64, f64)>, out: &mut dyn ActionSink,
     ) {
-        self.measure(|p| p.attempt_ended(now, id, endpoint, outcome, duration, ended, report, out));
+        self.time(|p| p.attempt_ended(now, id, endpoint, outcome, duration, ended, report, out));
     }
     fn wait_requested(&mut self, now: f64, endpoint: &str, wait: f64, out: &mut dyn ActionSink) {
-        self.measure(|policy| policy.wait_requested(now, endpoint, wait, out));
+        self.time(|policy| policy.wait_requested(now, endpoint, wait, out));
     }
     fn withdraw(&mut self, now: f64, id: u64, out: &mut dyn ActionSink) {
-        self.measure(|policy| policy.withdraw(now, id, out));
+        self.time(|policy| policy.withdraw(now, id, out));
     }
     fn wake(&mut self, now: f64, handle: u64, out: &mut dyn ActionSink) {
-        self.measure(|policy| policy.wake(now, handle, out));
+        self.time(|policy| policy.wake(now, handle, out));
     }
 }
 
@@ -101,7 +101,8 @@
     static POLICY_TIME: Rc<Cell<PolicyTime>> = Rc::default();
 }
 
-/// Simulates one day. Returns its report, the time that its policies took, and the seconds that the whole day took.
+/// Simulates one day. Returns its report, the time that its policies took, and the seconds that the whole day
+/// took.
 pub fn simulate_day(
     experiment: &Experiment, policy: &str, seed: u64, on_event: &mut dyn FnMut(&LogEntry),
 ) -> Result<(Report, PolicyTime, f64), String> {
@@ -208,8 +209,8 @@
     pub seed: u64,
 }
 
-/// Simulates days on all cores, or one after the other if their times are to be measured, and calls `on_result` as each
-/// one ends. After Ctrl-C the days in progress are finished and the others left out.
+/// Simulates days on all cores, or one after the other if their times are to be measured, and calls
+/// `on_result` as each one ends. After Ctrl-C the days in progress are finished and the others left out.
 pub fn run_tasks(
     tasks: Vec<DayTask>, sequential: bool, on_result: &(dyn Fn(&DayResult) + Sync),
 ) -> Result<Vec<DayResult>, String> {
--- a/crates/lab/tests/helpers/mod.rs
+++ b/crates/lab/tests/helpers/mod.rs
@@ -1,9 +1,10 @@
-//! Starts the program in a folder of its own.
+//! Runs `scalebarrow-lab` in a folder of the test's own.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-pub const WORLD: &str = r#"
+/// The world of the experiments: eight seconds, one kind of destination, one event type.
+pub const SMALL_WORLD: &str = r#"
 [world.day]
 length_s = 8.0
 
@@ -19,26 +20,28 @@
 known_s = 6.0
 "#;
 
-/// A folder for one test, emptied first.
-pub fn folder(name: &str) -> PathBuf {
+/// Creates an empty folder for one test, removing what an earlier run left there.
+pub fn empty_folder(name: &str) -> PathBuf {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::remove_dir_all(&dir).ok();
     std::fs::create_dir_all(&dir).unwrap();
     dir
 }
 
-pub fn lab(dir: &Path, args: &[&str]) -> Output {
+/// Runs the program in the folder and waits for its end.
+pub fn run_lab(dir: &Path, args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_scalebarrow-lab")).current_dir(dir).args(args).output().unwrap()
 }
 
-pub fn out(o: &Output) -> String {
-    String::from_utf8_lossy(&o.stdout).into_owned()
+pub fn stdout(output: &Output) -> String {
+    String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-pub fn err(o: &Output) -> String {
-    String::from_utf8_lossy(&o.stderr).into_owned()
+pub fn stderr(output: &Output) -> String {
+    String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-pub fn write(dir: &Path, file: &str, head: &str, tail: &str) {
-    std::fs::write(dir.join(file), format!("{head}{WORLD}{tail}")).unwrap();
+/// Writes an experiment file: `before_world`, the small world, and `after_world`.
+pub fn write_experiment(dir: &Path, file: &str, before_world: &str, after_world: &str) {
+    std::fs::write(dir.join(file), format!("{before_world}{SMALL_WORLD}{after_world}")).unwrap();
 }
--- a/crates/lab/tests/verbs.rs
+++ b/crates/lab/tests/verbs.rs
@@ -1,62 +1,66 @@
-//! Each verb as a user calls it.
+//! Runs each verb of `scalebarrow-lab` from the command line.
 
 mod helpers;
-use helpers::{err, folder, lab, out, write};
+use helpers::{empty_folder, run_lab, stderr, stdout, write_experiment};
 use std::path::Path;
 
-const DOWN: &str = "[[world.trouble]]\nwhat = \"down\"\nat_s = 2.0\nfor_s = 3.0\n";
+/// All destinations are down for three of the eight seconds.
+const DOWN_FAULT: &str = "[[world.trouble]]\nwhat = \"down\"\nat_s = 2.0\nfor_s = 3.0\n";
 
-fn lines(dir: &Path, file: &str) -> Vec<serde_json::Value> {
+/// The lines of a file, each parsed as JSON.
+fn json_lines(dir: &Path, file: &str) -> Vec<serde_json::Value> {
     let text = std::fs::read_to_string(dir.join(file)).unwrap();
-    text.lines().map(|l| serde_json::from_str(l).unwrap()).collect()
+    text.lines().map(|line| serde_json::from_str(line).unwrap()).collect()
 }
 
 #[test]
-fn run_writes_results_and_plots_that_can_be_drawn_again() {
-    let dir = folder("run");
-    write(&dir, "e.toml", "name = \"e\"\n", &DOWN.replace("down", "drain"));
-    let o = lab(&dir, &["run", "e.toml", "--seed", "3", "--seeds", "2", "--out", "d"]);
-    assert_eq!(o.status.code(), Some(0), "{}{}", out(&o), err(&o));
-    let rows = lines(&dir, "d/runs.jsonl");
-    assert_eq!(rows.len(), 2);
-    assert!(rows.iter().all(|r| r["little_holds"] == true && r["value"].as_f64().unwrap() > 0.5));
+fn run_writes_results_from_which_plot_redraws() {
+    let dir = empty_folder("run");
+    write_experiment(&dir, "e.toml", "name = \"e\"\n", &DOWN_FAULT.replace("down", "drain"));
+    let output = run_lab(&dir, &["run", "e.toml", "--seed", "3", "--seeds", "2", "--out", "d"]);
+    assert_eq!(output.status.code(), Some(0), "{}{}", stdout(&output), stderr(&output));
+    let days = json_lines(&dir, "d/runs.jsonl");
+    assert_eq!(days.len(), 2);
+    assert!(days.iter().all(|day| day["little_holds"] == true && day["value"].as_f64().unwrap() > 0.5));
     let summary = std::fs::read_to_string(dir.join("d/summary.json")).unwrap();
     assert!(summary.contains("\"simulated\": true") && summary.contains("\"drain\""));
-    assert_eq!(lab(&dir, &["same", "d", "d"]).status.code(), Some(0));
-    let o =
-        lab(&dir, &["run", "e.toml", "--seed", "3", "--seeds", "2", "--policy", "random", "--out", "other"]);
-    assert_eq!(o.status.code(), Some(0), "{}", err(&o));
-    assert_eq!(lab(&dir, &["same", "d", "other"]).status.code(), Some(1));
-    // What a break leaves behind: a last line that is cut off.
+    assert_eq!(run_lab(&dir, &["same", "d", "d"]).status.code(), Some(0));
+    let output = run_lab(
+        &dir,
+        &["run", "e.toml", "--seed", "3", "--seeds", "2", "--policy", "random", "--out", "other"],
+    );
+    assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
+    assert_eq!(run_lab(&dir, &["same", "d", "other"]).status.code(), Some(1));
+    // An interrupted run can leave a last line that is cut off.
     let mut text = std::fs::read_to_string(dir.join("d/runs.jsonl")).unwrap();
     text.truncate(text.len() - 40);
     std::fs::write(dir.join("d/runs.jsonl"), text).unwrap();
     for plot in ["d/value.svg", "d/latency.png"] {
         std::fs::remove_file(dir.join(plot)).unwrap();
     }
-    let o = lab(&dir, &["plot", "d"]);
-    assert_eq!(o.status.code(), Some(0), "{}", err(&o));
+    let output = run_lab(&dir, &["plot", "d"]);
+    assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
     let svg = std::fs::read_to_string(dir.join("d/value.svg")).unwrap();
     assert!(svg.contains("share of the value asked") && svg.contains("drain"));
     assert!(std::fs::read(dir.join("d/latency.png")).unwrap().starts_with(b"\x89PNG"));
 }
 
 #[test]
-fn a_broken_rule_exits_with_1_and_says_which() {
-    let dir = folder("broken");
-    write(&dir, "e.toml", "name = \"e\"\n", DOWN);
-    let o = lab(&dir, &["run", "e.toml", "--policy", "random", "--seed", "1", "--out", "d"]);
-    // The module is what the file names; the exit code tells of it alone.
-    assert_eq!(o.status.code(), Some(0), "{}", err(&o));
-    write(&dir, "e.toml", "name = \"e\"\npolicy = \"random\"\n", DOWN);
-    let o = lab(&dir, &["run", "e.toml", "--seed", "1", "--out", "d"]);
-    assert_eq!(o.status.code(), Some(1), "{}", out(&o));
-    assert!(out(&o).contains("Returns"), "{}", out(&o));
+fn run_exits_with_1_if_the_policy_of_the_file_breaks_a_rule() {
+    let dir = empty_folder("broken");
+    write_experiment(&dir, "e.toml", "name = \"e\"\n", DOWN_FAULT);
+    let output = run_lab(&dir, &["run", "e.toml", "--policy", "random", "--seed", "1", "--out", "d"]);
+    // The file names the policy `module`; only violations of that policy change the exit code.
+    assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
+    write_experiment(&dir, "e.toml", "name = \"e\"\npolicy = \"random\"\n", DOWN_FAULT);
+    let output = run_lab(&dir, &["run", "e.toml", "--seed", "1", "--out", "d"]);
+    assert_eq!(output.status.code(), Some(1), "{}", stdout(&output));
+    assert!(stdout(&output).contains("Returns"), "{}", stdout(&output));
 }
 
 #[test]
-fn files_that_can_not_be_played_are_refused_by_file_line_and_field() {
-    let dir = folder("bad");
+fn invalid_files_are_rejected_with_file_line_and_field() {
+    let dir = empty_folder("bad");
     let cases = [
         ("name = \"e\"\nseedz = 1\n", "", "e.toml:2", "seedz"),
         ("name = \"e\"\npolicy = \"best\"\n", "", "e.toml:2", "policy"),
@@ -74,58 +78,63 @@
             "sweep.0.values",
         ),
     ];
-    for (head, tail, place, field) in cases {
-        write(&dir, "e.toml", head, tail);
-        let o = lab(&dir, &["run", "e.toml"]);
-        assert_eq!(o.status.code(), Some(2), "{head}{tail}");
-        let said = err(&o);
-        assert!(said.contains(place) && said.contains(field), "{place} {field}: {said}");
+    for (before_world, after_world, location, field) in cases {
+        write_experiment(&dir, "e.toml", before_world, after_world);
+        let output = run_lab(&dir, &["run", "e.toml"]);
+        assert_eq!(output.status.code(), Some(2), "{before_world}{after_world}");
+        let message = stderr(&output);
+        assert!(message.contains(location) && message.contains(field), "{location} {field}: {message}");
     }
-    write(&dir, "e.toml", "name = \"e\"\n", "[[sweep]]\nfield = \"world.day.lenth_s\"\nvalues = [1.0]\n");
-    let o = lab(&dir, &["sweep", "e.toml"]);
-    assert!(o.status.code() == Some(2) && err(&o).contains("lenth_s"), "{}", err(&o));
-    assert_eq!(lab(&dir, &["run", "none.toml"]).status.code(), Some(2));
-    assert_eq!(lab(&dir, &["walk"]).status.code(), Some(2));
+    write_experiment(
+        &dir,
+        "e.toml",
+        "name = \"e\"\n",
+        "[[sweep]]\nfield = \"world.day.lenth_s\"\nvalues = [1.0]\n",
+    );
+    let output = run_lab(&dir, &["sweep", "e.toml"]);
+    assert!(output.status.code() == Some(2) && stderr(&output).contains("lenth_s"), "{}", stderr(&output));
+    assert_eq!(run_lab(&dir, &["run", "none.toml"]).status.code(), Some(2));
+    assert_eq!(run_lab(&dir, &["walk"]).status.code(), Some(2));
 }
 
 #[test]
-fn sweep_varies_any_field_and_compare_pairs_seeds() {
-    let dir = folder("sweep");
+fn sweep_varies_any_field_and_compare_pairs_days_by_seed() {
+    let dir = empty_folder("sweep");
     let sweep = "[[sweep]]\nfield = \"world.destinations.count\"\nvalues = [2, 40]\n\
                  [[sweep]]\nfield = \"world.kind.0.headroom\"\nvalues = [1.2, 3]\n";
-    write(&dir, "e.toml", "name = \"e\"\n", sweep);
-    let o = lab(&dir, &["sweep", "e.toml", "--set", "world.day.length_s=5", "--out", "d"]);
-    assert_eq!(o.status.code(), Some(0), "{}", err(&o));
-    let rows = lines(&dir, "d/runs.jsonl");
-    assert_eq!(rows.len(), 4);
+    write_experiment(&dir, "e.toml", "name = \"e\"\n", sweep);
+    let output = run_lab(&dir, &["sweep", "e.toml", "--set", "world.day.length_s=5", "--out", "d"]);
+    assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
+    let days = json_lines(&dir, "d/runs.jsonl");
+    assert_eq!(days.len(), 4);
     assert_eq!(
-        rows[3]["point"],
+        days[3]["point"],
         serde_json::json!([["world.destinations.count", "40"], ["world.kind.0.headroom", "3"]])
     );
-    assert_eq!(rows[0]["windows"].as_array().unwrap().len(), 5);
+    assert_eq!(days[0]["windows"].as_array().unwrap().len(), 5);
     assert!(dir.join("d/cost.svg").exists());
 
-    let o = lab(&dir, &["compare", "e.toml", "--with", "module", "--seeds", "3", "--out", "c"]);
-    assert_eq!(o.status.code(), Some(0), "{}", err(&o));
-    let all: serde_json::Value =
+    let output = run_lab(&dir, &["compare", "e.toml", "--with", "module", "--seeds", "3", "--out", "c"]);
+    assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
+    let differences: serde_json::Value =
         serde_json::from_str(&std::fs::read_to_string(dir.join("c/differences.json")).unwrap()).unwrap();
-    assert!(all.as_array().is_some_and(|a| a.len() == 5), "{all}");
+    assert!(differences.as_array().is_some_and(|a| a.len() == 5), "{differences}");
 }
 
 #[test]
-fn hunt_finds_a_broken_rule_makes_the_day_small_and_replay_plays_it() {
-    let dir = folder("hunt");
-    write(&dir, "e.toml", "name = \"e\"\npolicy = \"least-outstanding\"\n", "");
-    let o = lab(&dir, &["hunt", "e.toml", "--days", "64", "--seed", "5", "--out", "f.toml"]);
-    assert_eq!(o.status.code(), Some(1), "{}{}", out(&o), err(&o));
+fn hunt_shrinks_a_broken_rule_to_a_file_that_replay_reproduces() {
+    let dir = empty_folder("hunt");
+    write_experiment(&dir, "e.toml", "name = \"e\"\npolicy = \"least-outstanding\"\n", "");
+    let output = run_lab(&dir, &["hunt", "e.toml", "--days", "64", "--seed", "5", "--out", "f.toml"]);
+    assert_eq!(output.status.code(), Some(1), "{}{}", stdout(&output), stderr(&output));
     let found = std::fs::read_to_string(dir.join("f.toml")).unwrap();
     assert!(found.matches("[[world.trouble]]").count() <= 2, "{found}");
-    let o = lab(&dir, &["replay", "f.toml", "--events", "log.jsonl"]);
-    assert_eq!(o.status.code(), Some(1), "{}", err(&o));
-    assert!(out(&o).contains("the day as it was found"), "{}", out(&o));
-    assert!(lines(&dir, "log.jsonl").iter().any(|l| l["what"]["Attempt"].is_object()));
-    // The same day under another policy is another day, and says so.
+    let output = run_lab(&dir, &["replay", "f.toml", "--events", "log.jsonl"]);
+    assert_eq!(output.status.code(), Some(1), "{}", stderr(&output));
+    assert!(stdout(&output).contains("the day as it was found"), "{}", stdout(&output));
+    assert!(json_lines(&dir, "log.jsonl").iter().any(|line| line["what"]["Attempt"].is_object()));
+    // With another policy the event log differs, and replay reports it.
     std::fs::write(dir.join("g.toml"), found.replace("least-outstanding", "module")).unwrap();
-    let o = lab(&dir, &["replay", "g.toml"]);
-    assert!(out(&o).contains("not the day that was found"), "{}", out(&o));
+    let output = run_lab(&dir, &["replay", "g.toml"]);
+    assert!(stdout(&output).contains("not the day that was found"), "{}", stdout(&output));
 }
