--- a/crates/scale/src/capacity/format.rs
+++ b/crates/scale/src/capacity/format.rs
@@ -1,6 +1,6 @@
-//! Figures as text: three digits, and the unit that a reader would choose.
+//! Formats figures as text, with three significant digits and a unit of suitable size.
 
-/// A figure with its unit; sizes and times take the prefix that suits them.
+/// A figure with its unit; for sizes and times, the unit of that kind that gives a short number.
 pub fn with_unit(value: f64, unit: &str) -> String {
     match unit {
         "B" | "B/s" => scaled(value, &SIZES) + &unit[1..],
@@ -14,7 +14,7 @@
     }
 }
 
-/// From so many seconds on a time is told in a unit of so many seconds.
+/// Units of time: the least number of seconds to use the unit for, its length in seconds, and its name.
 const TIMES: [(f64, f64, &str); 7] = [
     (172_800.0, 86_400.0, "days"),
     (7_200.0, 3_600.0, "h"),
@@ -24,19 +24,20 @@
     (1e-6, 1e-6, "us"),
     (0.0, 1e-9, "ns"),
 ];
+/// Units of size: the least number of bytes to use the unit for, its bytes, and its name.
 const SIZES: [(f64, f64, &str); 4] = [(1e9, 1e9, "GB"), (1e6, 1e6, "MB"), (1e3, 1e3, "kB"), (0.0, 1.0, "B")];
 
 fn time(seconds: f64) -> String {
     scaled(seconds, &TIMES)
 }
 
-/// With the first unit whose least value is reached.
+/// The value in the first unit whose least value it reaches.
 fn scaled(value: f64, units: &[(f64, f64, &str)]) -> String {
-    let found = units.iter().find(|(least, _, _)| value.abs() >= *least);
-    found.map_or_else(|| number(value), |(_, factor, unit)| format!("{} {unit}", number(value / factor)))
+    let unit = units.iter().find(|(least, _, _)| value.abs() >= *least);
+    unit.map_or_else(|| number(value), |(_, factor, unit)| format!("{} {unit}", number(value / factor)))
 }
 
-/// Three digits that count, whole numbers with commas.
+/// A number with three significant digits, and with commas between thousands.
 pub fn number(value: f64) -> String {
     if value == 0.0 {
         return "0".into();
@@ -45,19 +46,20 @@
     let decimals = (3 - digits).clamp(0, 9) as usize;
     let rounded = format!("{value:.decimals$}");
     match rounded.split_once('.') {
-        Some((whole, part)) => match part.trim_end_matches('0') {
+        Some((whole, fraction)) => match fraction.trim_end_matches('0') {
             "" => commas(whole),
-            part => format!("{}.{part}", commas(whole)),
+            fraction => format!("{}.{fraction}", commas(whole)),
         },
         None => commas(&rounded),
     }
 }
 
+/// A whole number with commas between thousands.
 fn commas(whole: &str) -> String {
     let (sign, digits) = whole.strip_prefix('-').map_or(("", whole), |rest| ("-", rest));
     let mut text = String::from(sign);
-    for (at, digit) in digits.chars().enumerate() {
-        if at > 0 && (digits.len() - at) % 3 == 0 {
+    for (index, digit) in digits.chars().enumerate() {
+        if index > 0 && (digits.len() - index) % 3 == 0 {
             text.push(',');
         }
         text.push(digit);
@@ -65,13 +67,13 @@
     text
 }
 
-/// How often a figure goes into its limit; bold where it does not go in once.
-pub fn room(factor: f64) -> String {
-    let text = number((factor * 100.0).round() / 100.0);
-    match factor {
-        factor if factor < 0.005 => format!("**{}**", number(factor)),
-        factor if factor < 1.0 => format!("**{text}**"),
-        factor if factor >= 100.0 => number(factor.round()),
+/// The headroom of a figure, in bold if it is below 1, which means that the limit is broken.
+pub fn headroom_text(headroom: f64) -> String {
+    let text = number((headroom * 100.0).round() / 100.0);
+    match headroom {
+        headroom if headroom < 0.005 => format!("**{}**", number(headroom)),
+        headroom if headroom < 1.0 => format!("**{text}**"),
+        headroom if headroom >= 100.0 => number(headroom.round()),
         _ => text,
     }
 }
--- a/crates/scale/src/capacity/page.rs
+++ b/crates/scale/src/capacity/page.rs
@@ -1,44 +1,47 @@
-//! The page: text written by hand, and regions between two markers, `<!-- begin NAME -->` and `<!-- end NAME -->`, for tables.
+//! Inserts tables into the page, between the markers `<!-- begin NAME -->` and `<!-- end NAME -->`. The rest
+//! of the page is written by hand.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The page with each region's table in its place. Every region has to be there once, and no other.
+/// Returns the page with each table between its markers. The page must have the markers of every table once,
+/// and no others.
 pub fn fill(page: &str, tables: &BTreeMap<String, String>) -> Result<String, String> {
     let mut filled = String::new();
-    let mut found = BTreeSet::new();
-    let mut open: Option<&str> = None;
-    for (at, line) in page.lines().enumerate() {
-        let refused = |why: String| Err(format!("line {}: {why}", at + 1));
+    let mut inserted = BTreeSet::new();
+    let mut open_table: Option<&str> = None;
+    for (index, line) in page.lines().enumerate() {
+        let line_error = |reason: String| Err(format!("line {}: {reason}", index + 1));
         if let Some(name) = marker(line, "begin") {
             let Some(table) = tables.get(name) else {
-                return refused(format!("no figure is in the table {name:?}"));
+                return line_error(format!("no figure is in the table {name:?}"));
             };
-            if open.is_some() || !found.insert(name) {
-                return refused(format!("the table {name:?} begins twice or inside another"));
+            if open_table.is_some() || !inserted.insert(name) {
+                return line_error(format!("the table {name:?} begins twice or inside another"));
             }
-            open = Some(name);
+            open_table = Some(name);
             filled.push_str(&format!("{line}\n{table}"));
         } else if let Some(name) = marker(line, "end") {
-            if open != Some(name) {
-                return refused(format!("the table {name:?} ends and has not begun"));
+            if open_table != Some(name) {
+                return line_error(format!("the table {name:?} ends without having begun"));
             }
-            open = None;
+            open_table = None;
             filled.push_str(&format!("{line}\n"));
-        } else if open.is_none() {
+        } else if open_table.is_none() {
             filled.push_str(&format!("{line}\n"));
         }
     }
-    if let Some(name) = open {
+    if let Some(name) = open_table {
         return Err(format!("the table {name:?} does not end"));
     }
-    match tables.keys().find(|name| !found.contains(name.as_str())) {
+    match tables.keys().find(|name| !inserted.contains(name.as_str())) {
         Some(name) => {
-            Err(format!("the table {name:?} has no place: <!-- begin {name} --> and <!-- end {name} -->"))
+            Err(format!("the table {name:?} has no markers: <!-- begin {name} --> and <!-- end {name} -->"))
         }
         None => Ok(filled),
     }
 }
 
+/// The table's name, if the line is a marker that starts with this word.
 fn marker<'a>(line: &'a str, word: &str) -> Option<&'a str> {
     line.trim().strip_prefix("<!-- ")?.strip_prefix(word)?.strip_prefix(' ')?.strip_suffix(" -->")
 }
--- a/crates/scale/src/capacity/tables.rs
+++ b/crates/scale/src/capacity/tables.rs
@@ -1,32 +1,33 @@
-//! The tables of the page, from the figures.
+//! Formats the figures, constants and slopes as the Markdown tables of the page.
 
-use super::figures::{Figures, Row, name_of};
-use super::format::{number, room, with_unit};
-use super::size::{Constant, Missing, Size};
+use super::figures::{Figures, Row, kind_name};
+use super::format::{headroom_text, number, with_unit};
+use super::size::{Constant, MissingMechanism, Size};
 use crate::slopes::{Slope, SlopeFile};
 use std::collections::{BTreeMap, BTreeSet};
 
 const NOT_MEASURED: &str = "not measured";
-/// A line from which a point lies further off than this share of it is rough.
-const ROUGH: f64 = 0.5;
+/// A slope is marked as rough if its residual, the largest distance of a point from the line as a share of
+/// the point, is above this.
+const ROUGH_RESIDUAL: f64 = 0.5;
 
-/// The tables by the name of their region: one for each table that figures name, and `summary`, `missing`, `given`,
-/// `slopes`.
-pub fn all(size: &Size, figures: &Figures, slopes: &SlopeFile) -> BTreeMap<String, String> {
+/// All tables by their names in the page's markers: one for each table that figures are listed in, and
+/// `summary`, `missing`, `given` (the constants) and `slopes`.
+pub fn all_tables(size: &Size, figures: &Figures, slopes: &SlopeFile) -> BTreeMap<String, String> {
     let names: BTreeSet<&str> = figures.rows.iter().map(|row| row.figure.table.as_str()).collect();
     let table = |name: &str| {
         let rows: Vec<&Row> = figures.rows.iter().filter(|row| row.figure.table == name).collect();
-        (name.to_owned(), details(&rows, slopes))
+        (name.to_owned(), figure_table(&rows, slopes))
     };
     let mut tables: BTreeMap<String, String> = names.into_iter().map(table).collect();
-    tables.insert("summary".into(), summary(figures, slopes));
-    tables.insert("missing".into(), missing(size, figures));
-    tables.insert("given".into(), given(size));
-    tables.insert("slopes".into(), measured(slopes));
+    tables.insert("summary".into(), summary_table(figures, slopes));
+    tables.insert("missing".into(), missing_table(size, figures));
+    tables.insert("given".into(), constant_table(size));
+    tables.insert("slopes".into(), slope_table(slopes));
     tables
 }
 
-/// A table in Markdown.
+/// A Markdown table.
 fn markdown(head: &[&str], rows: impl IntoIterator<Item = Vec<String>>) -> String {
     let line = |cells: &[String]| {
         let cells: Vec<String> = cells.iter().map(|cell| cell.replace('|', "\\|")).collect();
@@ -39,12 +40,13 @@
     text
 }
 
-/// The figures of the top table, and each that breaks its limit: what breaks first stands first, what is not measured or has
-/// no limit last.
-fn summary(figures: &Figures, slopes: &SlopeFile) -> String {
-    let mut rows: Vec<&Row> = figures.rows.iter().filter(|row| row.figure.top || is_broken(row)).collect();
+/// The figures that are marked for the summary and all that break their limit, by rising headroom. Those that
+/// are not measured or have no limit come last.
+fn summary_table(figures: &Figures, slopes: &SlopeFile) -> String {
+    let mut rows: Vec<&Row> =
+        figures.rows.iter().filter(|row| row.figure.in_summary || is_broken(row)).collect();
     rows.sort_by(|a, b| {
-        let (a, b) = (a.room().unwrap_or(f64::INFINITY), b.room().unwrap_or(f64::INFINITY));
+        let (a, b) = (a.headroom().unwrap_or(f64::INFINITY), b.headroom().unwrap_or(f64::INFINITY));
         a.total_cmp(&b)
     });
     let head = ["who", "quantity", "at size", "figure is", "limit", "room", "mechanism"];
@@ -52,21 +54,23 @@
         vec![
             row.figure.table.replace('_', " "),
             row.figure.quantity.clone(),
-            value(row),
-            kind(row, slopes),
-            limit(row),
-            factor(row),
-            mechanism(row),
+            value_cell(row),
+            kind_cell(row, slopes),
+            limit_cell(row),
+            headroom_cell(row),
+            mechanism_cell(row),
         ]
     };
     markdown(&head, rows.into_iter().map(cells))
 }
 
+/// Whether the figure breaks its limit.
 fn is_broken(row: &Row) -> bool {
-    row.room().is_some_and(|room| room < 1.0)
+    row.headroom().is_some_and(|headroom| headroom < 1.0)
 }
 
-fn details(rows: &[&Row], slopes: &SlopeFile) -> String {
+/// The table of the figures of a role or a failure.
+fn figure_table(rows: &[&Row], slopes: &SlopeFile) -> String {
     let head = [
         "quantity",
         "how it is worked out",
@@ -81,46 +85,50 @@
         let slope = row.figure.slope.as_deref().and_then(|id| slopes.get(id));
         vec![
             row.figure.quantity.clone(),
-            working(row, slope),
-            value(row),
-            kind(row, slopes),
-            slope.map_or_else(|| "-".to_owned(), measurement),
-            limit(row),
-            factor(row),
-            mechanism(row),
+            computation_cell(row, slope),
+            value_cell(row),
+            kind_cell(row, slopes),
+            slope.map_or_else(|| "-".to_owned(), measurement_cell),
+            limit_cell(row),
+            headroom_cell(row),
+            mechanism_cell(row),
         ]
     };
     markdown(&head, rows.iter().map(cells))
 }
 
-fn value(row: &Row) -> String {
+/// The value with its unit.
+fn value_cell(row: &Row) -> String {
     let text = row.value.as_ref().map(|value| with_unit(value.value, &row.figure.unit));
     text.unwrap_or_else(|| NOT_MEASURED.to_owned())
 }
 
-fn limit(row: &Row) -> String {
-    let least = if row.figure.at_least { "at least " } else { "" };
-    row.limit.map_or_else(|| "-".to_owned(), |limit| least.to_owned() + &with_unit(limit, &row.figure.unit))
+/// The limit with its unit.
+fn limit_cell(row: &Row) -> String {
+    let prefix = if row.figure.at_least { "at least " } else { "" };
+    row.limit.map_or_else(|| "-".to_owned(), |limit| prefix.to_owned() + &with_unit(limit, &row.figure.unit))
 }
 
-fn factor(row: &Row) -> String {
-    row.room().map_or_else(|| "-".to_owned(), room)
+/// The headroom, if the figure has one.
+fn headroom_cell(row: &Row) -> String {
+    row.headroom().map_or_else(|| "-".to_owned(), headroom_text)
 }
 
-/// Whether it is a measured slope carried to the size, or worked out, and from what.
-fn kind(row: &Row, slopes: &SlopeFile) -> String {
+/// Whether the figure is an extrapolated slope or the result of a formula, and how the slopes it depends on
+/// were measured.
+fn kind_cell(row: &Row, slopes: &SlopeFile) -> String {
     let Some(value) = &row.value else { return "-".to_owned() };
-    let from = value.rests_on.iter().copied().collect::<Vec<_>>().join(" and ");
+    let kinds = value.measured_by.iter().copied().collect::<Vec<_>>().join(" and ");
     let slope = row.figure.slope.as_deref().and_then(|id| slopes.get(id));
-    match (slope, from.as_str()) {
-        (Some(slope), from) => format!("{from} slope{}{}", beyond(slope, row.count), rough(slope)),
+    match (slope, kinds.as_str()) {
+        (Some(slope), kinds) => format!("{kinds} slope{}{}", range_note(slope, row.count), fit_note(slope)),
         (None, "") => "worked out".to_owned(),
-        (None, from) => format!("worked out from {from}"),
+        (None, kinds) => format!("worked out from {kinds}"),
     }
 }
 
-/// How far the count lies outside of what was measured.
-fn beyond(slope: &Slope, count: Option<f64>) -> String {
+/// How far the count is outside of the measured range.
+fn range_note(slope: &Slope, count: Option<f64>) -> String {
     let (low, high) = slope.range;
     match count {
         Some(count) if count > high => {
@@ -131,28 +139,30 @@
     }
 }
 
-fn rough(slope: &Slope) -> &'static str {
-    if slope.residual > ROUGH { ", rough" } else { "" }
+/// Marks a slope whose line fits badly.
+fn fit_note(slope: &Slope) -> &'static str {
+    if slope.residual > ROUGH_RESIDUAL { ", rough" } else { "" }
 }
 
-/// `slope x count + base` with its figures, or the formula.
-fn working(row: &Row, slope: Option<&Slope>) -> String {
+/// How the figure is computed: `slope x count + base` with its numbers, or the formula.
+fn computation_cell(row: &Row, slope: Option<&Slope>) -> String {
     if let Some(formula) = &row.figure.formula {
         return format!("`{}`", formula.get_ref());
     }
     let count = row.figure.count.as_ref().map_or("", |count| count.get_ref());
     match (slope, row.count) {
-        (Some(slope), Some(times)) => {
-            let each = with_unit(slope.slope, &slope.unit);
+        (Some(slope), Some(count_value)) => {
+            let per_unit = with_unit(slope.slope, &slope.unit);
             let sign = if slope.base < 0.0 { '-' } else { '+' };
             let base = with_unit(slope.base.abs(), &slope.unit);
-            format!("{each} x {} {sign} {base} (`{}` x `{count}`)", number(times), slope.id)
+            format!("{per_unit} x {} {sign} {base} (`{}` x `{count}`)", number(count_value), slope.id)
         }
         _ => format!("`{}` x `{count}` + base", row.figure.slope.as_deref().unwrap_or_default()),
     }
 }
 
-fn measurement(slope: &Slope) -> String {
+/// How the slope was measured.
+fn measurement_cell(slope: &Slope) -> String {
     let (low, high) = slope.range;
     let residual = number(slope.residual * 100.0);
     format!(
@@ -164,7 +174,8 @@
     )
 }
 
-fn mechanism(row: &Row) -> String {
+/// The modules that implement the figure, and the mechanism that is missing.
+fn mechanism_cell(row: &Row) -> String {
     let modules = row.figure.mechanism.iter().map(|path| format!("`{}`", path.get_ref()));
     let missing =
         row.figure.missing.iter().map(|id| format!("**missing**: {}", id.get_ref().replace('_', " ")));
@@ -172,31 +183,36 @@
     if all.is_empty() { "-".to_owned() } else { all }
 }
 
-fn missing(size: &Size, figures: &Figures) -> String {
+/// The missing mechanisms, with the figures whose limits they are needed for.
+fn missing_table(size: &Size, figures: &Figures) -> String {
     let row_of = |id: &str| figures.rows.iter().find(|row| row.figure.id.get_ref() == id);
-    let tell = |row: &Row| match row.room() {
-        Some(factor) => format!("{}: {}, room {}", row.figure.quantity, value(row), room(factor)),
-        None => format!("{}: {}", row.figure.quantity, value(row)),
+    let figure_text = |row: &Row| match row.headroom() {
+        Some(factor) => {
+            format!("{}: {}, room {}", row.figure.quantity, value_cell(row), headroom_text(factor))
+        }
+        None => format!("{}: {}", row.figure.quantity, value_cell(row)),
     };
-    let cells = |(at, missing): (usize, &Missing)| {
+    let cells = |(index, missing): (usize, &MissingMechanism)| {
         let id = missing.id.get_ref();
-        let rows = size.lacking(id).filter_map(|figure| row_of(figure.id.get_ref()));
-        let rows = rows.filter(|row| row.figure.limit.is_some() && (row.room().is_none() || is_broken(row)));
-        let figures = rows.map(tell).collect::<Vec<_>>().join("; ");
+        let rows = size.figures_needing(id).filter_map(|figure| row_of(figure.id.get_ref()));
+        let rows =
+            rows.filter(|row| row.figure.limit.is_some() && (row.headroom().is_none() || is_broken(row)));
+        let figures = rows.map(figure_text).collect::<Vec<_>>().join("; ");
         vec![
-            (at + 1).to_string(),
+            (index + 1).to_string(),
             id.replace('_', " "),
-            missing.what.clone(),
+            missing.description.clone(),
             missing.reason.clone(),
             figures,
         ]
     };
     let head =
         ["", "mechanism", "what it does", "why here", "limits that are broken without it, or not measured"];
-    markdown(&head, size.missing.iter().enumerate().map(cells))
+    markdown(&head, size.missing_mechanisms.iter().enumerate().map(cells))
 }
 
-fn given(size: &Size) -> String {
+/// The constants.
+fn constant_table(size: &Size) -> String {
     let cells = |constant: &Constant| {
         let from = match &constant.line {
             Some(line) => format!("`{}`: `{}`", constant.from.get_ref(), line.get_ref()),
@@ -205,14 +221,15 @@
         vec![
             format!("`{}`", constant.id.get_ref()),
             with_unit(constant.value, &constant.unit),
-            constant.is.clone(),
-            constant.kind.map_or_else(|| from.clone(), |kind| format!("{from} ({})", name_of(kind))),
+            constant.description.clone(),
+            constant.kind.map_or_else(|| from.clone(), |kind| format!("{from} ({})", kind_name(kind))),
         ]
     };
-    markdown(&["name", "value", "what it is", "given by"], size.constant.iter().map(cells))
+    markdown(&["name", "value", "what it is", "given by"], size.constants.iter().map(cells))
 }
 
-fn measured(slopes: &SlopeFile) -> String {
+/// The slopes with the points they were fitted to.
+fn slope_table(slopes: &SlopeFile) -> String {
     let cells = |slope: &Slope| {
         let points = slope
             .points
@@ -225,7 +242,7 @@
             with_unit(slope.base, &slope.unit),
             points.collect::<Vec<_>>().join("; "),
             format!("{}%", number(slope.residual * 100.0)),
-            name_of(slope.kind).to_owned(),
+            kind_name(slope.kind).to_owned(),
             format!("`{}` at {}", slope.verb, slope.commit),
         ]
     };
--- a/crates/scale/src/slopes.rs
+++ b/crates/scale/src/slopes.rs
@@ -1,43 +1,47 @@
-//! The file of slopes: what each quantity costs per unit, with the points that the line was fitted to.
+//! The slopes file: measured quantities as linear functions of a count (such as memory over webhooks queued),
+//! with the points that each line was fitted to.
 
 use crate::error::Error;
 use linregress::{FormulaRegressionBuilder, RegressionDataBuilder};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// How the figures of a slope came about.
+/// How a slope was measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MeasurementKind {
-    /// Processes of the built program on sockets.
+    /// On processes of the built program, over sockets.
     Real,
-    /// The program's parts in a process of the run's own, on sockets, or its decision module in the emulator.
+    /// On parts of the program that run in the measuring process, over sockets, or on its decision module in
+    /// the emulator.
     Emulated,
-    /// The bench's simulator, in simulated time.
+    /// In the simulator of the benchmarks, in simulated time.
     Simulated,
 }
 
-/// A quantity as `slope` times a count plus `base`.
+/// A quantity as a linear function: `slope` times a count plus `base`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slope {
-    /// Its name in the file, as `held.resident_bytes`.
+    /// Its unique name, as `held.resident_bytes`.
     pub id: String,
-    /// Who bears it, as `sender`.
+    /// The role of the process that the quantity is a cost of, as `sender`.
     pub role: String,
-    /// What is measured, in words, as `resident memory`.
+    /// What was measured, for people, as `resident memory`.
     pub quantity: String,
-    /// What is counted, as `webhook held`.
+    /// What is counted, in the singular, as `webhook held`.
     pub per: String,
     /// The unit of the quantity, as `B` or `s`.
     pub unit: String,
+    /// In `unit` for each unit of the count.
     pub slope: f64,
+    /// The quantity at a count of 0, in `unit`.
     pub base: f64,
-    /// Counts and what was measured at each, by rising count.
+    /// Pairs of count and measured quantity, by rising count.
     pub points: Vec<(f64, f64)>,
-    /// The lowest and highest count.
+    /// The lowest and the highest count measured.
     pub range: (f64, f64),
-    /// The largest distance of a point from the line, as a share of the point.
+    /// The largest distance of a point from the line, as a share of the point's value.
     pub residual: f64,
     pub kind: MeasurementKind,
     /// The command that measured it.
@@ -46,45 +50,46 @@
     pub commit: String,
 }
 
-/// The whole file.
+/// The content of the slopes file.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SlopeFile {
     pub slopes: Vec<Slope>,
 }
 
-/// A line through points.
+/// A line fitted to points.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FittedLine {
     pub slope: f64,
     pub base: f64,
-    /// The largest distance of a point from the line, as a share of the point.
+    /// The largest distance of a point from the line, as a share of the point's value.
     pub residual: f64,
 }
 
 impl FittedLine {
-    /// The least-squares line; nothing where the points lie at fewer than two counts. A line that falls is not carried
-    /// further: the quantity does not grow with the count, and its highest point stands.
+    /// The least-squares line, or `None` if the points have fewer than two different counts. A falling line
+    /// is replaced by a constant at the highest point: the quantity does not grow with the count, so the fall
+    /// is not extrapolated.
     pub fn fit(points: &[(f64, f64)]) -> Option<FittedLine> {
         let (counts, values): (Vec<f64>, Vec<f64>) = points.iter().copied().unzip();
-        let first = *counts.first()?;
-        if counts.iter().all(|count| *count == first) {
+        let first_count = *counts.first()?;
+        if counts.iter().all(|count| *count == first_count) {
             return None;
         }
         let data = RegressionDataBuilder::new().build_from([("value", values), ("count", counts)]).ok()?;
-        let fit = FormulaRegressionBuilder::new()
+        let parameters = FormulaRegressionBuilder::new()
             .data(&data)
             .formula("value ~ count")
             .fit_without_statistics()
             .ok()?;
-        let [base, slope] = *fit.as_slice() else { return None };
+        let [base, slope] = *parameters.as_slice() else { return None };
         let highest = points.iter().map(|point| point.1).fold(f64::NEG_INFINITY, f64::max);
         let (slope, base) = if slope < 0.0 { (0.0, highest) } else { (slope, base) };
-        let distance = |(count, value): &(f64, f64)| {
-            let off = (slope * count + base - value).abs();
-            if *value == 0.0 { off } else { off / value.abs() }
+        let relative_distance = |(count, value): &(f64, f64)| {
+            let distance = (slope * count + base - value).abs();
+            if *value == 0.0 { distance } else { distance / value.abs() }
         };
-        let residual = points.iter().map(distance).fold(0.0, f64::max);
+        let residual = points.iter().map(relative_distance).fold(0.0, f64::max);
         Some(FittedLine { slope, base, residual })
     }
 }
@@ -97,41 +102,42 @@
 }
 
 impl SlopeFile {
-    /// Reads the file; a file that is not there holds no slopes.
+    /// Reads the file; a missing file counts as empty.
     pub fn read(path: &Path) -> Result<SlopeFile, Error> {
         let text = match std::fs::read_to_string(path) {
             Ok(text) => text,
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(SlopeFile::default()),
             Err(e) => return Err(Error::Input(format!("{}: {e}", path.display()))),
         };
-        Self::decode(&text).map_err(|why| Error::Input(format!("{}: {why}", path.display())))
+        Self::decode(&text).map_err(|reason| Error::Input(format!("{}: {reason}", path.display())))
     }
 
-    /// The slopes that a text holds; an error names field and line.
+    /// Parses the text of a slopes file; an error names the field and the line.
     pub fn decode(text: &str) -> Result<SlopeFile, String> {
-        let mut from = serde_json::Deserializer::from_str(text);
-        serde_path_to_error::deserialize(&mut from).map_err(|e| format!("{}: {}", e.path(), e.inner()))
+        let mut deserializer = serde_json::Deserializer::from_str(text);
+        serde_path_to_error::deserialize(&mut deserializer)
+            .map_err(|e| format!("{}: {}", e.path(), e.inner()))
     }
 
-    /// The slope of that name.
+    /// The slope with this id.
     pub fn get(&self, id: &str) -> Option<&Slope> {
         self.slopes.iter().find(|slope| slope.id == id)
     }
 
-    /// Takes a slope in, in place of one with the same name; points and names stay sorted.
+    /// Inserts a slope, replacing one with the same id. Slopes stay sorted by id, and their points by count.
     pub fn insert(&mut self, mut slope: Slope) {
         slope.points.sort_by(|a, b| a.0.total_cmp(&b.0));
-        self.slopes.retain(|old| old.id != slope.id);
+        self.slopes.retain(|existing| existing.id != slope.id);
         self.slopes.push(slope);
         self.slopes.sort_by(|a, b| a.id.cmp(&b.id));
     }
 
-    /// Writes the file whole or not at all.
+    /// Replaces the file atomically.
     pub fn write(&self, path: &Path) -> Result<(), Error> {
-        let fresh = path.with_extension("json.new");
+        let temporary = path.with_extension("json.new");
         let text = serde_json::to_string_pretty(self).map_err(|e| Error::Failed(e.to_string()))?;
-        std::fs::write(&fresh, text + "\n")
-            .and_then(|()| std::fs::rename(&fresh, path))
+        std::fs::write(&temporary, text + "\n")
+            .and_then(|()| std::fs::rename(&temporary, path))
             .map_err(|e| Error::Failed(format!("{}: {e}", path.display())))
     }
 }
--- a/crates/scale/tests/capacity.rs
+++ b/crates/scale/tests/capacity.rs
@@ -1,4 +1,5 @@
-//! The verb `capacity`: the committed page is the one that the committed files give; made-up files for all else.
+//! The verb `capacity`: the committed page is up to date with the committed files; all else is tested with
+//! small files in a temporary repository.
 
 use scalebarrow_scale::capacity::{Options, run};
 use scalebarrow_scale::error::Error;
@@ -106,28 +107,28 @@
 formula = "2 * turn_s"
 "#;
 
-const PAGE: &str = "# Page\n\n<!-- begin summary -->\nold\n<!-- end summary -->\n<!-- begin missing -->\n<!-- end missing -->\n\
+const PAGE_TEMPLATE: &str = "# Page\n\n<!-- begin summary -->\nold\n<!-- end summary -->\n<!-- begin missing -->\n<!-- end missing -->\n\
     Kept.\n<!-- begin sender -->\n<!-- end sender -->\n<!-- begin machine_lost -->\n<!-- end machine_lost -->\n\
     <!-- begin given -->\n<!-- end given -->\n<!-- begin slopes -->\n<!-- end slopes -->\n";
 
-/// A made-up repository in a folder of its own.
-struct Made(PathBuf);
+/// A small repository in a temporary folder, which is removed at the end of the test.
+struct TestRepository(PathBuf);
 
-impl Made {
-    fn new(name: &str) -> Made {
+impl TestRepository {
+    fn new(name: &str) -> TestRepository {
         let root = std::env::temp_dir().join(format!("scalebarrow-capacity-{}-{name}", std::process::id()));
-        let made = Made(root);
+        let repository = TestRepository(root);
         for folder in ["docs/capacity", "src"] {
-            fs::create_dir_all(made.0.join(folder)).unwrap();
+            fs::create_dir_all(repository.0.join(folder)).unwrap();
         }
-        made.put("src/list.rs", "const WATCH: u64 = 2;\n");
-        made.put("docs/capacity/slopes.json", SLOPES);
-        made.put("docs/capacity/size.toml", SIZE);
-        made.put("docs/CAPACITY.md", PAGE);
-        made
+        repository.write("src/list.rs", "const WATCH: u64 = 2;\n");
+        repository.write("docs/capacity/slopes.json", SLOPES);
+        repository.write("docs/capacity/size.toml", SIZE);
+        repository.write("docs/CAPACITY.md", PAGE_TEMPLATE);
+        repository
     }
 
-    fn put(&self, file: &str, text: &str) {
+    fn write(&self, file: &str, text: &str) {
         fs::write(self.0.join(file), text).unwrap();
     }
 
@@ -140,30 +141,30 @@
     }
 }
 
-impl Drop for Made {
+impl Drop for TestRepository {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-fn line_with<'a>(page: &'a str, start: &str) -> &'a str {
+fn line_starting_with<'a>(page: &'a str, start: &str) -> &'a str {
     page.lines()
         .find(|line| line.starts_with(start))
         .unwrap_or_else(|| panic!("no line begins {start:?}:\n{page}"))
 }
 
 #[test]
-fn the_committed_page_is_the_one_that_the_committed_files_give() {
+fn the_committed_page_is_up_to_date() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let done = run(&Options::under(&root, true));
-    assert!(done.is_ok(), "make it with `scalebarrow-scale capacity`: {}", done.unwrap_err());
+    let result = run(&Options::under(&root, true));
+    assert!(result.is_ok(), "update it with `scalebarrow-scale capacity`: {}", result.unwrap_err());
 }
 
 #[test]
-fn figures_follow_from_slopes_counts_and_formulas() {
-    let made = Made::new("figures");
-    made.run(false).unwrap();
-    let page = made.page();
+fn figures_are_computed_from_slopes_counts_and_formulas() {
+    let repository = TestRepository::new("figures");
+    repository.run(false).unwrap();
+    let page = repository.page();
     for (start, cells) in [
         ("| webhooks held |", "`backlog / senders` | 200,000 | worked out | - | - | - | - |"),
         (
@@ -185,16 +186,16 @@
             "1: 0.5 a second; 10: 5 a second | 0% | emulated | `scalebarrow-lab sweep` at abc1234 |",
         ),
     ] {
-        let line = line_with(&page, start);
+        let line = line_starting_with(&page, start);
         assert!(line.ends_with(cells), "{line}\ndoes not end\n{cells}");
     }
 }
 
 #[test]
-fn what_breaks_first_stands_first_and_prose_stays() {
-    let made = Made::new("order");
-    made.run(false).unwrap();
-    let page = made.page();
+fn the_summary_is_sorted_by_headroom_and_text_between_tables_is_kept() {
+    let repository = TestRepository::new("order");
+    repository.run(false).unwrap();
+    let page = repository.page();
     let summary = &page[page.find("<!-- begin summary").unwrap()..page.find("<!-- end summary").unwrap()];
     let quantities: Vec<&str> =
         summary.lines().skip(3).map(|line| line.split(" | ").nth(1).unwrap()).collect();
@@ -204,11 +205,11 @@
 }
 
 #[test]
-fn a_broken_limit_stands_at_the_top_unasked() {
-    let made = Made::new("broken");
-    made.put("docs/capacity/size.toml", &SIZE.replacen("top = true", "", 1));
-    made.run(false).unwrap();
-    let page = made.page();
+fn the_summary_lists_a_broken_limit_without_top() {
+    let repository = TestRepository::new("broken");
+    repository.write("docs/capacity/size.toml", &SIZE.replacen("top = true", "", 1));
+    repository.run(false).unwrap();
+    let page = repository.page();
     assert!(
         page.contains(
             "| sender | memory | 205 MB | real slope, 2 times beyond its fit, rough | 128 MB | **0.62** |"
@@ -218,40 +219,44 @@
 }
 
 #[test]
-fn a_check_tells_the_difference_and_writes_nothing() {
-    let made = Made::new("check");
-    made.run(false).unwrap();
-    made.run(true).unwrap();
-    let good = made.page();
+fn check_reports_the_difference_and_writes_nothing() {
+    let repository = TestRepository::new("check");
+    repository.run(false).unwrap();
+    repository.run(true).unwrap();
+    let good = repository.page();
     let edited = good.replace("205 MB", "105 MB");
     assert_ne!(edited, good);
-    made.put("docs/CAPACITY.md", &edited);
-    let error = made.run(true).unwrap_err();
+    repository.write("docs/CAPACITY.md", &edited);
+    let error = repository.run(true).unwrap_err();
     assert_eq!(error.exit_code(), 1);
-    let told = error.to_string();
-    assert!(told.contains("\n-| memory |") && told.contains("\n+| memory |"), "{told}");
-    assert_eq!(made.page(), edited);
-    made.run(false).unwrap();
-    assert_eq!(made.page(), good);
-    made.put("docs/capacity/slopes.json", &SLOPES.replace("\"slope\": 1000.0", "\"slope\": 1100.0"));
-    assert_eq!(made.run(true).unwrap_err().exit_code(), 1);
+    let message = error.to_string();
+    assert!(message.contains("\n-| memory |") && message.contains("\n+| memory |"), "{message}");
+    assert_eq!(repository.page(), edited);
+    repository.run(false).unwrap();
+    assert_eq!(repository.page(), good);
+    repository.write("docs/capacity/slopes.json", &SLOPES.replace("\"slope\": 1000.0", "\"slope\": 1100.0"));
+    assert_eq!(repository.run(true).unwrap_err().exit_code(), 1);
 }
 
 #[test]
-fn without_slopes_nothing_is_made_up() {
-    let made = Made::new("empty");
-    fs::remove_file(made.0.join("docs/capacity/slopes.json")).unwrap();
-    made.run(false).unwrap();
-    let page = made.page();
-    assert!(line_with(&page, "| memory |").contains("| not measured | - | - | 128 MB | - |"), "{page}");
-    assert!(line_with(&page, "| memory a webhook |").contains("| not measured |"), "{page}");
+fn figures_without_their_slope_are_not_measured() {
+    let repository = TestRepository::new("empty");
+    fs::remove_file(repository.0.join("docs/capacity/slopes.json")).unwrap();
+    repository.run(false).unwrap();
+    let page = repository.page();
+    assert!(
+        line_starting_with(&page, "| memory |").contains("| not measured | - | - | 128 MB | - |"),
+        "{page}"
+    );
+    assert!(line_starting_with(&page, "| memory a webhook |").contains("| not measured |"), "{page}");
 }
 
-/// Bad input: which file, what is replaced by what, and how the error begins and goes on.
+/// Each case replaces a text in one of the files and expects an error that contains the last text of the
+/// case.
 #[test]
-fn bad_input_is_refused_with_field_and_line() {
+fn invalid_input_is_rejected_with_field_and_line() {
     const SIZE_FILE: &str = "docs/capacity/size.toml";
-    const SLOPE_FILE: &str = "docs/capacity/slopes.json";
+    const SLOPES_FILE: &str = "docs/capacity/slopes.json";
     const PAGE_FILE: &str = "docs/CAPACITY.md";
     let cases = [
         (SIZE_FILE, "value = 10", "value = \"ten\"", "size.toml:4: constant[0].value: "),
@@ -262,12 +267,12 @@
             "iz = \"senders\"",
             "size.toml:5: constant[0].iz: unknown field `iz`",
         ),
-        (SIZE_FILE, "id = \"held\"", "id = \"backlog\"", "size.toml:23: id: \"backlog\" stands twice"),
+        (SIZE_FILE, "id = \"held\"", "id = \"backlog\"", "size.toml:23: id: \"backlog\" is defined twice"),
         (
             SIZE_FILE,
             "const WATCH: u64 = 2;",
             "const WATCH: u64 = 3;",
-            "size.toml:20: line: src/list.rs does not hold",
+            "size.toml:20: line: src/list.rs does not contain",
         ),
         (SIZE_FILE, "from = \"src/list.rs\"", "from = \"src/none.rs\"", "size.toml:19: from: "),
         (
@@ -287,13 +292,13 @@
             SIZE_FILE,
             "formula = \"senders / 4\"",
             "count = \"2\"",
-            "size.toml:64: figure: has either slope and count",
+            "size.toml:64: figure: needs either slope and count",
         ),
         (
             SIZE_FILE,
             "[\"src/list.rs\"]",
             "[\"src/lost.rs\"]",
-            "size.toml:36: mechanism: src/lost.rs is not there",
+            "size.toml:36: mechanism: src/lost.rs does not exist",
         ),
         (
             SIZE_FILE,
@@ -301,7 +306,7 @@
             "missing = \"stor\"",
             "size.toml:37: missing: \"stor\" is none of",
         ),
-        (SIZE_FILE, "missing = \"store\"", "", "size.toml:74: missing: no figure names it"),
+        (SIZE_FILE, "missing = \"store\"", "", "size.toml:74: missing: no figure refers to it"),
         (
             SIZE_FILE,
             "quantity = \"memory\"\nunit = \"B\"",
@@ -309,12 +314,12 @@
             "size.toml:29: unit: ",
         ),
         (
-            SLOPE_FILE,
+            SLOPES_FILE,
             "\"kind\": \"real\"",
             "\"kind\": \"guessed\"",
             "slopes.json: slopes[0].kind: unknown variant `guessed`",
         ),
-        (SLOPE_FILE, "\"residual\": 0.0,", "", "slopes.json: slopes[1]: missing field `residual`"),
+        (SLOPES_FILE, "\"residual\": 0.0,", "", "slopes.json: slopes[1]: missing field `residual`"),
         (
             PAGE_FILE,
             "<!-- end sender -->",
@@ -331,21 +336,21 @@
             PAGE_FILE,
             "<!-- begin slopes -->\n<!-- end slopes -->",
             "",
-            "CAPACITY.md: the table \"slopes\" has no place",
+            "CAPACITY.md: the table \"slopes\" has no markers",
         ),
         (PAGE_FILE, "<!-- end slopes -->", "", "CAPACITY.md: the table \"slopes\" does not end"),
     ];
-    for (at, (file, from, to, told)) in cases.into_iter().enumerate() {
-        let made = Made::new(&format!("bad-{at}"));
-        let path = made.0.join(file);
+    for (index, (file, from, to, expected)) in cases.into_iter().enumerate() {
+        let repository = TestRepository::new(&format!("bad-{index}"));
+        let path = repository.0.join(file);
         let text = fs::read_to_string(&path).unwrap();
-        assert!(text.contains(from), "case {at}: {from:?} is not in {file}");
-        made.put(file, &text.replacen(from, to, 1));
-        let page = made.page();
-        let error = made.run(false).expect_err(&format!("case {at}, {to:?}, is taken"));
-        assert_eq!(error.exit_code(), 2, "case {at}: {error}");
-        assert!(error.to_string().contains(told), "case {at}: {error}\ndoes not tell {told:?}");
-        assert_eq!(made.page(), page, "case {at}: the page is written all the same");
+        assert!(text.contains(from), "case {index}: {from:?} is not in {file}");
+        repository.write(file, &text.replacen(from, to, 1));
+        let page = repository.page();
+        let error = repository.run(false).expect_err(&format!("case {index}, {to:?}, is accepted"));
+        assert_eq!(error.exit_code(), 2, "case {index}: {error}");
+        assert!(error.to_string().contains(expected), "case {index}: {error}\ndoes not contain {expected:?}");
+        assert_eq!(repository.page(), page, "case {index}: the page is written");
     }
 }
 
@@ -358,45 +363,46 @@
 count = 5
 "#;
 
-/// Days of a made-up sweep: senders, and attempts in each span of ten seconds.
+/// Results of a sweep: the number of senders, and the attempts in each window of ten seconds.
 const RUNS: &str = r#"{"point": [["world.senders.count", "10"]], "windows": [{"at_s": 0.0, "attempts": 900}, {"at_s": 10.0, "attempts": 800}, {"at_s": 20.0, "attempts": 90}, {"at_s": 30.0, "attempts": 700}]}
 {"point": [["world.senders.count", "10"]], "windows": [{"at_s": 0.0, "attempts": 900}, {"at_s": 10.0, "attempts": 800}, {"at_s": 20.0, "attempts": 110}, {"at_s": 30.0, "attempts": 700}]}
 {"point": [["world.senders.count", "40"]], "windows": [{"at_s": 0.0, "attempts": 900}, {"at_s": 10.0, "attempts": 800}, {"at_s": 20.0, "attempts": 400}, {"at_s": 30.0, "attempts": 700}]}
 "#;
 
-impl Made {
-    fn with_lab(name: &str) -> Made {
-        let made = Made::new(name);
+impl TestRepository {
+    fn with_lab(name: &str) -> TestRepository {
+        let repository = TestRepository::new(name);
         for folder in ["experiments", "lab"] {
-            fs::create_dir_all(made.0.join(folder)).unwrap();
+            fs::create_dir_all(repository.0.join(folder)).unwrap();
         }
-        made.put("experiments/capacity-down.toml", EXPERIMENT);
-        made.put("lab/summary.json", r#"{"experiment": "capacity-down"}"#);
-        made.put("lab/runs.jsonl", RUNS);
-        made
+        repository.write("experiments/capacity-down.toml", EXPERIMENT);
+        repository.write("lab/summary.json", r#"{"experiment": "capacity-down"}"#);
+        repository.write("lab/runs.jsonl", RUNS);
+        repository
     }
 
-    fn take_lab(&self) -> Result<(), Error> {
+    fn update_from_lab(&self) -> Result<(), Error> {
         run(&Options { lab: Some(self.0.join("lab")), ..Options::under(&self.0, false) })
     }
 }
 
 #[test]
-fn the_emulators_slope_is_that_of_the_second_half_of_its_days() {
-    let made = Made::with_lab("lab");
-    made.take_lab().unwrap();
-    let file = SlopeFile::read(&made.0.join("docs/capacity/slopes.json")).unwrap();
-    assert_eq!(file.slopes.len(), 3, "those that were there stay");
+fn the_emulated_slope_counts_the_second_half_of_the_day() {
+    let repository = TestRepository::with_lab("lab");
+    repository.update_from_lab().unwrap();
+    let file = SlopeFile::read(&repository.0.join("docs/capacity/slopes.json")).unwrap();
+    assert_eq!(file.slopes.len(), 3, "the existing slopes are kept");
     let slope = file.get("emulated.down_tries_per_second").unwrap();
-    // 100 and 400 tries in ten seconds at five destinations: 2 and 8 a second at each.
+    // 100 (the mean of 90 and 110) and 400 attempts in ten seconds at five destinations are 2 and 8 per
+    // second at each.
     assert_eq!(slope.points, [(10.0, 2.0), (40.0, 8.0)]);
     assert!((slope.slope - 0.2).abs() < 1e-9 && slope.base.abs() < 1e-9, "{slope:?}");
     assert_eq!((slope.range, slope.kind), ((10.0, 40.0), MeasurementKind::Emulated));
-    made.run(true).unwrap();
+    repository.run(true).unwrap();
 }
 
 #[test]
-fn a_lab_folder_that_cannot_be_used_is_refused_and_nothing_is_written() {
+fn an_invalid_lab_folder_is_rejected_and_nothing_is_written() {
     let cases = [
         (
             "lab/summary.json",
@@ -419,22 +425,22 @@
         ("lab/runs.jsonl", "\"40\"", "\"10\"", "runs.jsonl: world.senders.count: two counts are needed"),
         ("experiments/capacity-down.toml", "count = 5", "", "capacity-down.toml: missing field `count`"),
     ];
-    for (at, (file, from, to, told)) in cases.into_iter().enumerate() {
-        let made = Made::with_lab(&format!("bad-lab-{at}"));
-        let text = fs::read_to_string(made.0.join(file)).unwrap();
-        assert!(text.contains(from), "case {at}: {from:?} is not in {file}");
-        made.put(file, &text.replacen(from, to, 1));
-        let error = made.take_lab().expect_err(&format!("case {at} is taken"));
-        assert_eq!(error.exit_code(), 2, "case {at}: {error}");
-        assert!(error.to_string().contains(told), "case {at}: {error}\ndoes not tell {told:?}");
-        let slopes = fs::read_to_string(made.0.join("docs/capacity/slopes.json")).unwrap();
+    for (index, (file, from, to, expected)) in cases.into_iter().enumerate() {
+        let repository = TestRepository::with_lab(&format!("bad-lab-{index}"));
+        let text = fs::read_to_string(repository.0.join(file)).unwrap();
+        assert!(text.contains(from), "case {index}: {from:?} is not in {file}");
+        repository.write(file, &text.replacen(from, to, 1));
+        let error = repository.update_from_lab().expect_err(&format!("case {index} is accepted"));
+        assert_eq!(error.exit_code(), 2, "case {index}: {error}");
+        assert!(error.to_string().contains(expected), "case {index}: {error}\ndoes not contain {expected:?}");
+        let slopes = fs::read_to_string(repository.0.join("docs/capacity/slopes.json")).unwrap();
         assert_eq!(
-            (made.page().as_str(), slopes.as_str()),
-            (PAGE, SLOPES),
-            "case {at}: something is written"
+            (repository.page().as_str(), slopes.as_str()),
+            (PAGE_TEMPLATE, SLOPES),
+            "case {index}: something is written"
         );
     }
-    let made = Made::with_lab("lab-check");
-    let both = Options { lab: Some(made.0.join("lab")), ..Options::under(&made.0, true) };
-    assert_eq!(run(&both).unwrap_err().exit_code(), 2);
+    let repository = TestRepository::with_lab("lab-check");
+    let options = Options { lab: Some(repository.0.join("lab")), ..Options::under(&repository.0, true) };
+    assert_eq!(run(&options).unwrap_err().exit_code(), 2);
 }
