--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -19,8 +19,8 @@
     fields: BTreeMap<&'a str, &'a str>,
 }
 
-/// Parses a log line; anything may come before its time. Other lines, as one that a sender was killed while
-/// writing, are skipped.
+/// Parses a log line; anything may come before its time. Other lines are skipped, such as one that was cut
+/// off when a sender was killed.
 fn parse_line(line: &str) -> Option<LogLine<'_>> {
     let mut words = line.split_ascii_whitespace();
     let time = words.find_map(|word| humantime::parse_rfc3339(word).ok())?;
@@ -98,26 +98,26 @@
         // Time, sender, change (1 opened, -1 closed, 0 the sender started), destination and endpoint.
         let mut changes: Vec<(f64, usize, i64, u64, &str)> = Vec::new();
         for (sender, line) in &lines {
-            let text = |name| line.fields.get(name).copied();
-            let endpoint = text("ep").unwrap_or_default();
+            let field = |name| line.fields.get(name).copied();
+            let endpoint = field("ep").unwrap_or_default();
             let destination =
-                text("dest").and_then(|d| d.parse().ok()).or_else(|| destinations.get(endpoint).copied());
+                field("dest").and_then(|d| d.parse().ok()).or_else(|| destinations.get(endpoint).copied());
             let span = fleet.spans.entry(((line.at_secs - first_at) / fleet.span_secs) as usize).or_default();
-            match (line.code, text("peer"), destination) {
+            match (line.code, field("peer"), destination) {
                 ("back", _, Some(destination)) => {
-                    let outcome = text("outcome").unwrap_or_default();
+                    let outcome = field("outcome").unwrap_or_default();
                     if let Some(index) = OUTCOMES.iter().position(|name| outcome.starts_with(name)) {
                         *span.calls.entry((destination, index)).or_default() += 1;
                     }
                 }
                 ("given-up", _, Some(destination)) => {
-                    *span.given_up.entry((destination, text("tries") != Some("0"))).or_default() += 1;
+                    *span.given_up.entry((destination, field("tries") != Some("0"))).or_default() += 1;
                 }
                 ("connecting", _, Some(destination)) => {
                     span.connecting += 1;
                     changes.push((line.at_secs, *sender, 1, destination, endpoint));
                 }
-                ("listed", ..) if text("mode") != Some("Remembered") => span.listed += 1,
+                ("listed", ..) if field("mode") != Some("Remembered") => span.listed += 1,
                 ("serving", ..) => changes.push((line.at_secs, *sender, 0, 0, "")),
                 (_, Some("list"), _) => span.not_listed += 1,
                 (_, Some("endpoint"), Some(destination)) => {
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -16,14 +16,17 @@
 /// A chart with labelled lines.
 pub struct Chart {
     pub title: String,
-    /// What the axes show, with the unit.
+    /// What the x axis shows, with the unit.
     pub x_title: String,
+    /// What the y axis shows, with the unit.
     pub y_title: String,
     /// The lines with their labels.
     pub lines: Vec<(String, Points)>,
     /// Periods on the x axis to shade: label, start and end.
     pub shaded_periods: Vec<(String, f64, f64)>,
+    /// Whether the x axis is logarithmic.
     pub log_x: bool,
+    /// Whether the y axis is logarithmic.
     pub log_y: bool,
     /// Formats the labels on the x axis, if not as plain numbers.
     pub x_label_format: Option<fn(f64) -> String>,
@@ -45,17 +48,18 @@
 }
 
 /// A number as short text, with M and k for large ones.
-fn axis_label(v: f64) -> String {
-    match v.abs() {
+fn axis_label(value: f64) -> String {
+    match value.abs() {
         0.0 => "0".into(),
-        a if a >= 1e6 => format!("{}M", (v / 1e4).round() / 100.0),
-        a if a >= 1e4 => format!("{}k", (v / 10.0).round() / 100.0),
-        a if a >= 1.0 => format!("{}", (v * 100.0).round() / 100.0),
-        _ => format!("{v:.3}"),
+        abs if abs >= 1e6 => format!("{}M", (value / 1e4).round() / 100.0),
+        abs if abs >= 1e4 => format!("{}k", (value / 10.0).round() / 100.0),
+        abs if abs >= 1.0 => format!("{}", (value * 100.0).round() / 100.0),
+        _ => format!("{value:.3}"),
     }
 }
 
 impl Chart {
+    /// Draws the chart on a bitmap or vector image.
     fn draw<DB: DrawingBackend>(&self, area: DrawingArea<DB, plotters::coord::Shift>) -> Result<(), String>
     where
         DB::ErrorType: 'static,
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -53,6 +53,7 @@
     pub value: f64,
     /// That share in the window where it was lowest.
     pub worst_window: f64,
+    /// The median latency from first hand-in to delivery.
     pub p50_ms: f64,
     pub p99_ms: f64,
     pub delivered: u64,
@@ -77,10 +78,12 @@
 /// A policy's name and a point of the sweep.
 type PolicyAndPoint = (String, Vec<(String, String)>);
 
+/// The mean of a figure over days; 0 if there are none.
 fn mean(days: &[&DayResult], value_of: impl Fn(&DayResult) -> f64) -> f64 {
     days.iter().map(|day| value_of(day)).sum::<f64>() / days.len().max(1) as f64
 }
 
+/// The sum of a count over days.
 fn sum(days: &[&DayResult], count_of: impl Fn(&DayResult) -> u64) -> u64 {
     days.iter().map(|day| count_of(day)).sum()
 }
@@ -215,6 +218,7 @@
         std::fs::write(&file, text + "\n").map_err(|e| format!("{}: {e}", file.display()))
     }
 
+    /// The path of the folder.
     pub fn dir(&self) -> &Path {
         &self.dir
     }
