--- a/crates/scale/src/verbs/slope/mod.rs
+++ b/crates/scale/src/verbs/slope/mod.rs
@@ -8,7 +8,7 @@
 use crate::error::Error;
 use crate::guard::{Guard, Limits};
 use crate::interrupt::StopFlag;
-use crate::slopes::{Kind, Line, Slope, SlopeFile};
+use crate::slopes::{FittedLine, MeasurementKind, Slope, SlopeFile};
 use crate::verbs::report::progress_bar;
 use bpaf::Bpaf;
 use std::path::{Path, PathBuf};
@@ -46,9 +46,9 @@
     }
 
     /// How values are measured if the highest count is this.
-    fn kind(self, highest_count: f64) -> Kind {
+    fn kind(self, highest_count: f64) -> MeasurementKind {
         let has_hollow = self == Counted::Senders && highest_count > senders::MAX_REAL_SENDERS as f64;
-        if has_hollow { Kind::Emulated } else { Kind::Real }
+        if has_hollow { MeasurementKind::Emulated } else { MeasurementKind::Real }
     }
 
     /// One counted thing, as the slope file calls it.
@@ -198,7 +198,7 @@
     println!("most in use: {} MiB in {} processes", peak_usage.memory_bytes >> 20, peak_usage.processes);
     if let Some(measurements) = all_measurements.first().filter(|_| !options.dry_run) {
         let mut file = SlopeFile::read(&options.out)?;
-        fit_slopes(options, measurements).into_iter().for_each(|slope| file.put(slope));
+        fit_slopes(options, measurements).into_iter().for_each(|slope| file.insert(slope));
         file.write(&options.out)?;
     }
     result
@@ -229,7 +229,7 @@
             measurements.iter().filter(|(_, measurement)| measurement.quantity.id == quantity.id);
         let points: Vec<(f64, f64)> =
             own_measurements.map(|(count, measurement)| (*count, measurement.value)).collect();
-        let line = Line::fit(&points)?;
+        let line = FittedLine::fit(&points)?;
         let counts = || points.iter().map(|point| point.0);
         let range = (counts().fold(f64::INFINITY, f64::min), counts().fold(0.0, f64::max));
         Some(Slope {
