--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,6 +1,6 @@
-//! Hosts many isolated senders behind the simulator's wire, where each line is a JSON message: one in, one
-//! out. It turns fields into calls, milliseconds into seconds and actions into messages, and makes no
-//! decisions.
+//! Hosts many isolated senders for a simulator. For each line on standard input, a JSON message with the
+//! events of a moment, it writes one with the resulting actions. It turns fields into calls, milliseconds
+//! into seconds and actions into messages, and makes no decisions.
 
 mod settings;
 
@@ -108,7 +108,8 @@
 /// A sender, and how its messages are to be read.
 struct Instance {
     sender: Sender,
-    /// Positions of the two values of a limit report in the telemetry of an outcome.
+    /// Positions in the telemetry of an outcome: of the remaining share of the rate limit, and of the limit
+    /// in calls per second.
     limit_report: (Option<usize>, Option<usize>),
     /// Whether the endpoint list contains rates; if not, the field has another meaning and is ignored.
     lists_rates: bool,
@@ -125,9 +126,9 @@
     /// Processes a line with the events of several instances and returns the reply.
     fn batch(&mut self, line: &str) -> Result<Value, InputError> {
         let whole_line = |reason| (String::new(), String::new(), reason);
-        let batch: Value = serde_json::from_str(line).map_err(|_| whole_line("is no JSON"))?;
+        let batch: Value = serde_json::from_str(line).map_err(|_| whole_line("is not JSON"))?;
         if !batch.is_object() {
-            return Err(whole_line("is no object"));
+            return Err(whole_line("is not an object"));
         }
         let now = number("batch", &batch, "moment-ms")? / 1e3;
         let mut replies = Vec::new();
@@ -205,7 +206,7 @@
                 if update != ListUpdate::Refused {
                     let rows = lists.get(&whole_number(kind, event, "buffer")?);
                     let rows =
-                        rows.ok_or((kind.into(), "buffer".into(), "names a list that has not come"))?;
+                        rows.ok_or((kind.into(), "buffer".into(), "names a list that was never received"))?;
                     for row in rows {
                         entries.push(ListedEndpoint {
                             endpoint: text("Ledger", row, "receiver")?,
@@ -274,7 +275,7 @@
 }
 
 fn main() -> io::Result<()> {
-    // A panic in a decision is reported on the wire instead of being printed.
+    // A panic in a decision becomes an `InternalError` in the reply instead of being printed.
     std::panic::set_hook(Box::new(|_| {}));
     let mut host = Host::default();
     let (mut input, mut output) = (io::stdin().lock(), io::BufWriter::new(io::stdout().lock()));
--- a/crates/wirehost/src/settings.rs
+++ b/crates/wirehost/src/settings.rs
@@ -88,6 +88,7 @@
     }
     let over_quota_weight = number_or(EVENT, facts, "over-share-worth", 1.0)?;
     for customer in optional_array(facts, "orgs")? {
+        // The root of the largest number stands for no limit; it stays finite in products.
         let quota = number_or(EVENT, customer, "quota-per-s", f64::MAX.sqrt())?;
         sender.set_customer(text(EVENT, customer, "name")?, quota, over_quota_weight);
     }
--- a/crates/wirehost/tests/exchange.rs
+++ b/crates/wirehost/tests/exchange.rs
@@ -100,8 +100,8 @@
 #[test]
 fn invalid_input_ends_the_program_with_an_error() {
     let cases: &[(&str, String, &str)] = &[
-        ("a line that is not JSON", "nonsense\n".into(), "line 1 is no JSON"),
-        ("a line that is not an object", "[1]\n".into(), "line 1 is no object"),
+        ("a line that is not JSON", "nonsense\n".into(), "line 1 is not JSON"),
+        ("a line that is not an object", "[1]\n".into(), "line 1 is not an object"),
         ("a batch without a time", "{\"senders\":[]}\n".into(), "line 1: batch: moment-ms is missing"),
         (
             "a time that is not a number",
@@ -135,7 +135,7 @@
         (
             "a list number that was never received",
             open("s/1").replace("\"buffer\":3}", "\"buffer\":4}"),
-            "buffer names a list that has not come",
+            "buffer names a list that was never received",
         ),
     ];
     for (name, input, expected) in cases {
