--- a/src/index.rs
+++ b/src/index.rs
@@ -1,20 +1,20 @@
-//! Containers that keep what the rule engine searches in order, so that it need not scan everything after
-//! every input. They make no decisions: the engine supplies every due time and every group.
+//! Sorted containers for what the rule engine searches, so that it need not scan everything after every
+//! input. They make no decisions: the engine supplies every due time and every group.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A time in seconds with a total order.
+/// A number with a total order: a time in seconds, a score or a cost.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct OrderedTime(pub f64);
+pub(crate) struct OrderedF64(pub f64);
 
-impl Eq for OrderedTime {}
-impl PartialOrd for OrderedTime {
+impl Eq for OrderedF64 {}
+impl PartialOrd for OrderedF64 {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for OrderedTime {
+impl Ord for OrderedF64 {
     fn cmp(&self, other: &Self) -> Ordering {
         self.0.total_cmp(&other.0)
     }
@@ -30,8 +30,8 @@
 /// Keys that are due at a time; each key has at most one.
 #[derive(Debug)]
 pub(crate) struct Timers<K> {
-    by_time: BTreeSet<(OrderedTime, K)>,
-    times: BTreeMap<K, OrderedTime>,
+    by_time: BTreeSet<(OrderedF64, K)>,
+    times: BTreeMap<K, OrderedF64>,
 }
 
 impl<K> Default for Timers<K> {
@@ -45,8 +45,8 @@
     pub fn set(&mut self, key: K, due_at: f64) {
         self.remove(&key);
         if due_at < f64::INFINITY {
-            self.by_time.insert((OrderedTime(due_at), key.clone()));
-            self.times.insert(key, OrderedTime(due_at));
+            self.by_time.insert((OrderedF64(due_at), key.clone()));
+            self.times.insert(key, OrderedF64(due_at));
         }
     }
 
@@ -92,7 +92,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct SendableQueue {
     /// Target deadlines and sequence numbers.
-    pub by_target: BTreeSet<(OrderedTime, u64)>,
+    pub by_target: BTreeSet<(OrderedF64, u64)>,
     /// Ids by sequence number: the order in which the webhooks became pending.
     pub by_sequence: BTreeMap<u64, u64>,
 }
@@ -102,12 +102,12 @@
     /// after `delivery_at` that is the one with the earliest deadline. If all are late, it is the first of
     /// those whose `value` equals that of the latest deadline; `value` must never fall as the deadline grows.
     pub fn first_ranked(&self, delivery_at: f64, value: impl Fn(u64) -> f64) -> Option<(u64, u64)> {
-        let from = |time: OrderedTime| self.by_target.range((time, 0)..).next();
-        let with_id = |entry: &(OrderedTime, u64)| Some((entry.1, *self.by_sequence.get(&entry.1)?));
-        if let Some(on_time) = from(OrderedTime(delivery_at)) {
+        let from = |time: OrderedF64| self.by_target.range((time, 0)..).next();
+        let with_id = |entry: &(OrderedF64, u64)| Some((entry.1, *self.by_sequence.get(&entry.1)?));
+        if let Some(on_time) = from(OrderedF64(delivery_at)) {
             return with_id(on_time);
         }
-        let worth = |entry: &(OrderedTime, u64)| self.by_sequence.get(&entry.1).map_or(0.0, |id| value(*id));
+        let worth = |entry: &(OrderedF64, u64)| self.by_sequence.get(&entry.1).map_or(0.0, |id| value(*id));
         let (first, last) = (self.by_target.first()?, self.by_target.last()?);
         let highest = worth(last);
         if worth(first) == highest {
@@ -122,13 +122,13 @@
         for _ in 0..60 {
             let middle = low + (high - low) / 2.0;
             unfinished = unfinished && low < middle && middle < high;
-            match from(OrderedTime(middle)).filter(|_| unfinished) {
+            match from(OrderedF64(middle)).filter(|_| unfinished) {
                 Some(entry) if worth(entry) == highest => high = middle,
                 Some(entry) => low = entry.0.0,
                 None => break,
             }
         }
-        from(OrderedTime(high)).and_then(with_id)
+        from(OrderedF64(high)).and_then(with_id)
     }
 }
 
@@ -149,7 +149,7 @@
     exhausted: BTreeSet<(u64, u64, u64)>,
     /// Sendable webhooks by destination and group. There are no empty entries.
     pub sendable: BTreeMap<u64, BTreeMap<G, SendableQueue>>,
-    /// Destinations whose pending or sendable webhooks changed since the engine last looked.
+    /// Destinations whose pending or sendable webhooks changed since the engine last evaluated them.
     pub changed: BTreeSet<u64>,
 }
 
@@ -204,7 +204,7 @@
         }
         if let Some(groups) = self.sendable.get_mut(&entry.destination) {
             if let Some(queue) = groups.get_mut(&entry.group) {
-                queue.by_target.remove(&(OrderedTime(entry.target_deadline), sequence));
+                queue.by_target.remove(&(OrderedF64(entry.target_deadline), sequence));
                 queue.by_sequence.remove(&sequence);
                 if queue.by_sequence.is_empty() {
                     groups.remove(&entry.group);
@@ -217,7 +217,7 @@
         self.changed.insert(entry.destination);
     }
 
-    /// Applies all timers that are due.
+    /// Applies all timers that are due: marks webhooks as expired or exhausted, or makes them sendable.
     pub fn advance(&mut self, now: f64) {
         while let Some(id) = self.expiry_timers.pop_due(now) {
             let (sequence, entry) = &self.entries[&id];
@@ -231,7 +231,7 @@
             let (sequence, entry) = &self.entries[&id];
             let queue =
                 self.sendable.entry(entry.destination).or_default().entry(entry.group.clone()).or_default();
-            queue.by_target.insert((OrderedTime(entry.target_deadline), *sequence));
+            queue.by_target.insert((OrderedF64(entry.target_deadline), *sequence));
             queue.by_sequence.insert(*sequence, id);
             self.changed.insert(entry.destination);
         }
--- a/src/index/tests.rs
+++ b/src/index/tests.rs
@@ -1,3 +1,5 @@
+//! Timers and pending webhooks: due times, order, replacement and removal.
+
 use super::*;
 
 #[test]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -33,8 +33,8 @@
     Delivered,
     /// The destination answered with an error; the webhook may have run.
     Failed,
-    /// The destination refused the webhook without running it, and asked to wait this many seconds (0 if for
-    /// no wait).
+    /// The destination refused the webhook without running it, and asked for a wait of this many seconds (0
+    /// if it asked for none).
     Full(f64),
     /// No answer came in time; the webhook may have run.
     TimedOut,
@@ -247,13 +247,13 @@
         self.0.run_rules(actions);
     }
 
-    /// Whether a requested attempt may still be sent now that its connection is ready. If not, it ends with
-    /// [`Outcome::Moot`].
+    /// Whether an attempt that was requested may still be sent now that its connection is ready. If not, it
+    /// ends with [`Outcome::Moot`].
     pub fn may_send(&self, now: f64, webhook_id: u64, endpoint: &str) -> bool {
         self.not_sent_reason(now, webhook_id, endpoint).is_none()
     }
 
-    /// Why a requested attempt must no longer be sent, if so.
+    /// Why an attempt that was requested must no longer be sent; `None` if it may be sent.
     pub fn not_sent_reason(&self, now: f64, webhook_id: u64, endpoint: &str) -> Option<NotSentReason> {
         self.0.not_sent_reason(now, webhook_id, endpoint)
     }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -24,7 +24,7 @@
 mod wake;
 
 use crate::chance::{Rng, hash};
-use crate::index::{IdleDestinations, KeysByKind, OrderedTime, PendingEntry, PendingWebhooks, median};
+use crate::index::{IdleDestinations, KeysByKind, OrderedF64, PendingEntry, PendingWebhooks, median};
 use crate::state::*;
 use crate::{ActionSink, ListUpdate, ListedEndpoint, NotSentReason, Outcome, RepeatSafety};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -71,8 +71,8 @@
     /// The webhooks of each ordering key; only the front one may be sent.
     key_queues: BTreeMap<Name, VecDeque<u64>>,
     /// Until when the webhooks of an ordering key wait because an earlier attempt may still run.
-    key_cooldowns: BTreeMap<Name, f64>,
-    /// How long such a cooldown lasts, in seconds.
+    key_cooldown_until: BTreeMap<Name, f64>,
+    /// How long the cooldown of an ordering key lasts, in seconds.
     pub key_cooldown: f64,
     /// For each kind of destination, webhooks in one call at most, and whether its endpoints are independent.
     pub destination_kinds: BTreeMap<Name, (usize, bool)>,
@@ -110,7 +110,7 @@
     pub max_retry_after: f64,
     /// For each customer: its quota, the weight of value beyond it, and the times of recent webhooks.
     pub customers: BTreeMap<Name, (f64, f64, VecDeque<f64>)>,
-    /// Whether recent retries were delivered.
+    /// Whether each of the recent retries was delivered.
     retry_results: VecDeque<bool>,
     /// Recent calls of all routes: true for one lost between two deliveries, false for a delivery.
     recent_losses: VecDeque<bool>,
@@ -213,7 +213,7 @@
         self.make_pending(id);
     }
 
-    /// An attempt ended after `duration` seconds.
+    /// An attempt ended after `duration` seconds; see [`crate::Sender::attempt_ended`].
     pub fn attempt_ended(
         &mut self, now: f64, id: u64, endpoint: &str, outcome: Outcome, duration: f64, is_final: bool,
         limit_report: Option<(f64, f64)>,
@@ -242,10 +242,10 @@
             let zone = self.routes.get(endpoint).map_or_else(|| Name::from(""), |route| route.zone.clone());
             webhook.may_have_run = Some((zone, now - duration));
         }
-        // After an attempt that may still run its key has a cooldown; the front webhook of the key does not
-        // wait for it.
+        // An attempt that may still run starts a cooldown of its ordering key; the front webhook of the key
+        // does not wait for it.
         let may_still_run = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
-        self.key_cooldowns.extend(
+        self.key_cooldown_until.extend(
             webhook.ordering_key.clone().filter(|_| may_still_run).map(|key| (key, now + self.key_cooldown)),
         );
         if webhook.attempts > 1 {
--- a/src/logic/admission.rs
+++ b/src/logic/admission.rs
@@ -4,7 +4,8 @@
 use super::*;
 
 impl RuleEngine {
-    /// At the limit of pending webhooks, the pending one with the least value left is given up.
+    /// At the limit of webhooks without a final answer: the pending one with the least value left, which is
+    /// given up.
     pub(super) fn overflow(&self) -> Option<RuleTarget> {
         if self.webhooks.len() < self.limits.max_pending.max(2) {
             return None;
--- a/src/logic/cold_budget.rs
+++ b/src/logic/cold_budget.rs
@@ -1,4 +1,6 @@
-//! Outages, and how many calls all senders together make to a destination that returns from one.
+//! Outages, and the cold budget: how many calls all senders together may make to a destination that returns
+//! from one. A scope ([`LimitScope`]) is what has an outage as a whole: a destination or an independent
+//! endpoint.
 
 use super::*;
 
@@ -18,7 +20,7 @@
             .capacity_share(route.recovered_at.map_or(0.0, |recovered_at| self.now - recovered_at));
         // A reduced limit does not make the destination weaker: the listed rate counts.
         let full_rate = self.rate_limit(route, limiter).max(route.listed_rate);
-        // One call per second where no rate is known, as that must not block a route forever.
+        // One call per second where no rate is known: an unknown rate must not block a route forever.
         let budget = if full_rate > 0.0 { full_rate } else { 1.0 }
             * capacity_share
             * self.cold_start.overload_multiple
@@ -95,8 +97,8 @@
     /// failures.
     pub(super) fn all_routes_failing(&self, scope: &LimitScope) -> bool {
         let routes = || self.routes_in(scope).map(|(_, route)| route);
-        // Three failures as for a single route, none delivered of those sent in the two seconds before, which
-        // tell of the same moment.
+        // Three failures as for a single route, and no delivery among the calls sent in the last two seconds,
+        // as those show the state at the same moment.
         let healthy = |route: &Route| {
             route
                 .samples
@@ -133,16 +135,17 @@
             }
         };
         limiter.failures = Some(failures);
-        let known = self.routes_in(&scope).all(|(_, route)| route.cold && route.recovered_at.is_none());
-        let lasts = failures.calls >= OUTAGE_CALLS && now - failures.since > OUTAGE_SECS;
-        if (lasts || failures.not_refused >= OUTAGE_CALLS_AT_ONCE) && !known {
+        let outage_known =
+            self.routes_in(&scope).all(|(_, route)| route.cold && route.recovered_at.is_none());
+        let failures_last = failures.calls >= OUTAGE_CALLS && now - failures.since > OUTAGE_SECS;
+        if (failures_last || failures.not_refused >= OUTAGE_CALLS_AT_ONCE) && !outage_known {
             self.mark_cold(&scope, failures.since);
             self.stagger_cold_calls(&scope, false);
         }
     }
 
     /// Detects on a delivery that a scope which refused calls for a while was in an outage until just now.
-    /// The calls were delayed so much that there were too few refusals to detect the outage earlier.
+    /// Refusals delay further calls, so the last refusal can come too early to detect the outage by it.
     pub(super) fn detect_recovery(&mut self, endpoint: &str) {
         let Some((endpoint, route)) = self.routes.get_key_value(endpoint) else { return };
         let scope = Self::limit_scope(endpoint, route);
--- a/src/logic/connections.rs
+++ b/src/logic/connections.rs
@@ -5,13 +5,14 @@
 impl RuleEngine {
     /// An endpoint whose idle connections are to be closed. Where endpoints accept few connections, idle ones
     /// keep other senders out. They are closed if no webhook is pending for them and either a connect to this
-    /// kind of destination failed recently (which costs a handshake for each call), or calls are further
-    /// apart than the idle timeout.
+    /// kind of destination failed recently (closing them then costs a handshake for each call), or calls are
+    /// further apart than the idle timeout.
     pub(super) fn idle_to_close(&self) -> Option<RuleTarget> {
         let set_index = |kind: &Name| {
             let (scarce_until, delivered) =
                 self.connection_scarcity.get(kind).copied().unwrap_or((self.now, 0));
-            // 30 calls: enough connects to notice that connections are scarce.
+            // Rarely used connections are kept after 30 deliveries without a failed connect: enough connects
+            // to notice that connections are scarce.
             if self.now < scarce_until { Some(0) } else { Some(1).filter(|_| delivered < 30) }
         };
         self.unneeded_connections.first(set_index).map(RuleTarget::Route)
--- a/src/logic/endpoint_list.rs
+++ b/src/logic/endpoint_list.rs
@@ -125,7 +125,7 @@
         let RuleTarget::Route(endpoint) = target else {
             self.unused_routes.next_check_at = self.now + 5.0;
             self.unused_routes.due.clear();
-            self.key_cooldowns.retain(|_, cooldown_until| *cooldown_until + 1.0 > self.now);
+            self.key_cooldown_until.retain(|_, cooldown_until| *cooldown_until + 1.0 > self.now);
             return;
         };
         let initial_window = self.initial_window();
--- a/src/logic/repeats.rs
+++ b/src/logic/repeats.rs
@@ -20,7 +20,7 @@
         let key = webhook.ordering_key.clone().filter(|_| webhook.may_have_run.is_some());
         self.make_pending(id);
         if let Some(key) = key {
-            self.key_cooldowns.insert(key.clone(), self.now + self.key_cooldown);
+            self.key_cooldown_until.insert(key.clone(), self.now + self.key_cooldown);
             self.refresh_key_front(&key);
         }
     }
@@ -147,7 +147,7 @@
         if webhook.may_have_run.is_some() {
             0.0
         } else {
-            self.key_cooldowns.get(key).map_or(0.0, |cooldown_until| cooldown_until + 0.001)
+            self.key_cooldown_until.get(key).map_or(0.0, |cooldown_until| cooldown_until + 0.001)
         }
     }
 
--- a/src/logic/retries.rs
+++ b/src/logic/retries.rs
@@ -188,7 +188,7 @@
                 // The last 60: enough to tell one in twenty from one in ten.
                 self.recent_losses.drain(..self.recent_losses.len().saturating_sub(60));
                 route.consecutive_failures = 0;
-                // Where some of the limit is left and a full call is pending the share grows fast: other
+                // Where some of the limit is left and a full call is pending, the share grows fast: other
                 // senders use less.
                 let wants_more = self.pending.sendable_count(scope.0) >= route.max_batch
                     && now > limiter.limit_reached_at + 2.0;
@@ -210,14 +210,14 @@
             Outcome::Failed => route.last_answer_at = now,
             Outcome::ConnectFailed => {
                 route.connect_failed_at = Some(now);
-                let others_delivered =
+                let other_calls_delivered =
                     route.samples.iter().any(|sample| sample.delivered && sample.ended_at >= sent_at);
                 let scarce = self
                     .connection_scarcity
                     .get(&route.destination_kind)
                     .is_some_and(|scarcity| now < scarcity.0);
                 self.connection_scarcity.entry(route.destination_kind.clone()).or_default().1 = 0;
-                if others_delivered || (scarce && route.consecutive_failures < 3) {
+                if other_calls_delivered || (scarce && route.consecutive_failures < 3) {
                     // No connection, yet others work: the calls in flight show how many it accepts. For 5 s,
                     // since idle connections of other senders close after some seconds.
                     route.window = route.window.min(route.calls.len() as f64).max(1.0);
@@ -248,17 +248,18 @@
         route.failing_since =
             if route.consecutive_failures == 1 && !route.cold { sent_at } else { route.failing_since };
         let delivered_count = route.samples.iter().filter(|sample| sample.delivered).count();
-        let none_delivered =
+        let none_delivered_since =
             !route.samples.iter().any(|sample| sample.delivered && sample.ended_at >= sent_at);
         if self.all_routes_failing(&scope) {
             self.mark_cold(&scope, now - 2.0);
             self.stagger_cold_calls(&scope, false);
         }
         let Some(route) = self.routes.get_mut(&endpoint) else { return false };
-        // The circuit opens on two consecutive failures with no delivery since, on one error where no
-        // delivery is known, or on a majority of at least five.
+        // The circuit opens on two consecutive failures, or on one error where no delivery is known, if nothing
+        // was delivered since this call was sent. It also opens if most of at least five samples failed, and a
+        // failed probe keeps it open.
         let single_error = delivered_count == 0 && outcome == Outcome::Failed;
-        if ((route.consecutive_failures >= 2 || single_error) && none_delivered)
+        if ((route.consecutive_failures >= 2 || single_error) && none_delivered_since)
             || (route.samples.len() >= 5 && 2 * delivered_count < route.samples.len())
             || probe
         {
@@ -287,8 +288,8 @@
             }
             // A third consecutive failure, or a failed probe, is an outage; fewer can be coincidence.
             if (probe && outcome != Outcome::Reset) || consecutive_failures >= 3 {
-                // Routes that delivered since these failures began, or in the last two seconds, are up,
-                // however fast this one failed.
+                // Routes that delivered a call sent after these failures began, and within the last two
+                // seconds, are up, however fast this one failed.
                 self.mark_cold(&scope, first_failed_at.max(now - 2.0));
             }
         }
--- a/src/logic/routing.rs
+++ b/src/logic/routing.rs
@@ -82,7 +82,7 @@
     /// Whether a route admits no regular call or further webhook now.
     pub(super) fn unavailable(&self, endpoint: &Name, route: &Route) -> bool {
         // Until an endpoint answers after an outage each call carries one webhook: a full call is as much
-        // work as three.
+        // work for it as three of those.
         let last_delivered_at = self
             .rate_limiters
             .get(&Self::limit_scope(endpoint, route))
@@ -113,18 +113,19 @@
             endpoints.iter().filter(available).map(|endpoint| (score(endpoint), endpoint)).collect();
         let highest = scored.iter().map(|entry| entry.0).fold(f64::NEG_INFINITY, f64::max);
         let current = self.current_routes.get(&destination);
-        // All within 0.05 of the highest score tie: the current route comes first, then the hash decides. One
-        // whose last call was not delivered comes after the others for 10 s, as long as samples count.
+        // All within 0.05 of the highest score tie (-9 sorts before every negated score). Of those, one whose
+        // last call was not delivered comes after the others for 10 s, as long as samples count; then the
+        // lower cost, the current route and the hash decide.
         scored.sort_by_cached_key(|(score, endpoint)| {
             let (route, ties) = (&self.routes[*endpoint], *score >= highest - 0.05);
             let failed_recently = route.last_failed_at.is_some_and(|failed_at| failed_at > self.now - 10.0);
             let tie_break = (
                 failed_recently,
-                OrderedTime(route.zone_cost),
+                OrderedF64(route.zone_cost),
                 Some(*endpoint) != current,
                 hash(self.sender_index, endpoint),
             );
-            (OrderedTime(if ties { -9.0 } else { -score }), tie_break)
+            (OrderedF64(if ties { -9.0 } else { -score }), tie_break)
         });
         scored.into_iter().map(|entry| entry.1).collect()
     }
@@ -197,7 +198,7 @@
         None
     }
 
-    /// Starts an attempt, in a call that started in this step and has room, or in a new one.
+    /// Starts an attempt, in a call that also starts now and has room, or in a new one.
     pub(super) fn start_attempt(&mut self, target: RuleTarget, actions: &mut dyn ActionSink) {
         let RuleTarget::Attempt(id, endpoint) = target else { return };
         let (now, sender_count) = (self.now, self.sender_count);
@@ -211,9 +212,9 @@
             route.circuit_open,
         );
         let spread = self.spread_duration(route, self.rate_limiters.get(&scope), route.failing_since - 2.0);
-        // The share to start with is an even part, or 1.3 even parts where endpoints share a limit. Where a
-        // sender gets one call per TTL or less it is up to one call per second, as chance decides which
-        // senders have webhooks; larger shares would exhaust the limit.
+        // The share to start with is an even part, or 1.3 even parts where endpoints share a limit. Where an
+        // even part allows one call per TTL or less, the share allows up to one call per second, as chance
+        // decides which senders have webhooks; elsewhere that would exhaust the limit.
         let shortest_ttl =
             self.event_types.values().map(|event_type| event_type.ttl).fold(f64::INFINITY, f64::min);
         let rate = if route.listed_rate > 0.0 {
@@ -237,8 +238,8 @@
             .last_mut()
             .filter(|call| call.sent_at == now && !call.probe && call.webhook_ids.len() < route.max_batch);
         let limiter = self.rate_limiters.entry(scope).or_default();
-        // Where the rate is reported but not listed, the whole limit, unless a limit was used up within the
-        // last minute.
+        // Where the rate is reported but not listed, the share to start with is the whole limit, unless a
+        // limit was used up within the last minute.
         if limiter.min_share <= 0.0 && rate > 0.0 {
             let reported_share =
                 if now < self.limit_used_up_at + ROUTE_MEMORY_SECS { share } else { share.max(1.0) };
--- a/src/logic/waits.rs
+++ b/src/logic/waits.rs
@@ -44,7 +44,7 @@
         if joins {
             return limiter.wait_until;
         }
-        // Reports arrive every few tenths of a second; a used-up limit counts as such for that long.
+        // Reports arrive every few tenths of a second; the report of a used-up limit counts for that long.
         let used_up_until = limiter
             .reported_remaining
             .map_or(0.0, |(remaining, reported_at)| if remaining < 0.05 { reported_at + 0.3 } else { 0.0 });
@@ -63,8 +63,8 @@
         limiter.wait_until.max(used_up_until).max(cold_until).max(share_used_until)
     }
 
-    /// Reacts to a refused call, which asked for `wait` seconds (0 if for no wait). Returns whether a rate
-    /// limit was reached, rather than the destination being down.
+    /// Reacts to a refused call, which asked for a wait of `wait` seconds (0 if it asked for none). Returns
+    /// whether a rate limit was reached, rather than the destination being down.
     pub(super) fn back_off(&mut self, endpoint: &Name, scope: &LimitScope, wait: f64) -> bool {
         let (now, sender_count, jitter) = (self.now, self.sender_count, self.rng.next_f64());
         let remaining = self
@@ -101,10 +101,10 @@
         let maybe_down = limiter.consecutive_refusals > 1 || !any_delivered;
         // A report that some of the limit was used shows that calls were accepted: the limit was reached,
         // unless refusals go on and no delivery is known.
-        let lasts = limiter.consecutive_refusals > 1 && now - limiter.refused_since > 2.0;
+        let refusals_go_on = limiter.consecutive_refusals > 1 && now - limiter.refused_since > 2.0;
         let healthy = route.consecutive_failures == 0
             && !route.cold
-            && !lasts
+            && !refusals_go_on
             && (any_delivered || limiter.consecutive_refusals < 2);
         let limit_reached = healthy && remaining.is_some_and(|remaining| remaining < 0.95);
         let (since, limiter) = (
@@ -137,7 +137,7 @@
         // against most limits.
         limiter.share = (limiter.share * if limiter.share > 2.0 / sender_count { 0.5 } else { 0.8 })
             .max(limiter.min_share);
-        if wait > 2.0 || lasts {
+        if wait > 2.0 || refusals_go_on {
             let since = limiter.refused_since;
             self.mark_cold(scope, now);
             let set_failing_since = |route: &mut Route| {
--- a/src/state.rs
+++ b/src/state.rs
@@ -106,7 +106,8 @@
     /// Computed from `samples`: higher is healthier.
     pub health_score: f64,
     pub consecutive_failures: u32,
-    /// When the first call of the consecutive failures, or of the outage, failed.
+    /// Since when calls fail: when the first call of the consecutive failures, or of the outage, was sent or
+    /// refused.
     pub failing_since: f64,
     /// An open circuit admits only one probe call at a time.
     pub circuit_open: bool,
@@ -128,7 +129,7 @@
     /// Upper bound of the connections that are open.
     pub connections: usize,
     pub connect_failed_at: Option<f64>,
-    /// In an outage that this sender has seen, or cold after one.
+    /// In an outage that this sender has seen, or cold: back from one, or just started.
     pub cold: bool,
     /// Its last start according to the endpoint list.
     pub started_at: f64,
@@ -152,7 +153,7 @@
 pub(crate) struct SenderLimits {
     /// Calls in flight at once.
     pub slots: usize,
-    /// Webhooks without a final answer.
+    /// Webhooks without a final answer, in flight or not.
     pub max_pending: usize,
     /// Attempts for one webhook.
     pub max_attempts: u32,
@@ -160,11 +161,14 @@
     pub may_cancel: bool,
 }
 
-/// Finds routes that were not used for long enough to forget what is known of them.
+/// Finds routes that have been unused for so long that what is known of them can be forgotten.
 #[derive(Default)]
 pub(crate) struct UnusedRoutes {
+    /// When each route will have been unused for that long.
     pub timers: Timers<Name>,
+    /// Routes whose timer has run out.
     pub due: BTreeSet<Name>,
+    /// When the next periodic check is due.
     pub next_check_at: f64,
 }
 
@@ -190,18 +194,20 @@
     pub wait_until: f64,
     /// When the last calls were sent, oldest first.
     pub sent_at: VecDeque<f64>,
-    /// This sender's share of the limit, and the least that refusals reduce it to.
+    /// This sender's share of the limit.
     pub share: f64,
+    /// The least that refusals reduce the share to; 0 until the first call at a known rate.
     pub min_share: f64,
     pub consecutive_refusals: u32,
+    /// When the first of the consecutive refusals arrived.
     pub refused_since: f64,
     /// When a call was last refused because the limit was reached, although the destination accepts calls.
     pub limit_reached_at: f64,
-    /// Reported limits with the time of each report.
+    /// Recent reports of the limit: when each arrived, and the limit in it.
     pub reported_limits: VecDeque<(f64, f64)>,
     /// The last reported share of the limit that is left, and when it was reported.
     pub reported_remaining: Option<(f64, f64)>,
-    /// When this sender's part of the cold budget allows the next call.
+    /// When this sender may make its next call while the destination is cold.
     pub next_cold_call_at: f64,
     /// When a call was last delivered.
     pub last_delivered_at: Option<f64>,
@@ -214,7 +220,7 @@
 pub(crate) struct FailureRun {
     /// When the first of them failed.
     pub since: f64,
-    /// The first one and all that were sent after it failed.
+    /// How many failed: the first of them, and those sent after it had failed.
     pub calls: u32,
     /// Those of `calls` that failed in another way than a refusal.
     pub not_refused: u32,
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -35,7 +35,8 @@
     }
 }
 
-/// Slots, limit of pending webhooks, number of senders, and whether the list watch has to be requested.
+/// Slots, limit of webhooks without a final answer, number of senders, and whether the list watch has to be
+/// requested.
 type Setting = (usize, usize, u64, bool);
 /// A name, the setting, the script and the expectations.
 type Case<'a> = (&'a str, Setting, &'a str, &'a [Expectation]);
