--- a/crates/sender/src/backlog.rs
+++ b/crates/sender/src/backlog.rs
@@ -1,5 +1,5 @@
 //! Open webhooks that the journal held at start and that have not yet been handed to the decision module, and
-//! the order in which they are.
+//! the order in which they are handed to it.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/sender/src/bridge.rs
+++ b/crates/sender/src/bridge.rs
@@ -23,13 +23,13 @@
 
 /// A 200 that is received after the TTL delivers nothing, and the platform waits for a final answer. The
 /// platform's TTL starts at the last byte of the client's request, the sender's a little later, when it has
-/// read the request. A delivery is therefore late this much before the TTL ends here, as the decision module
-/// gives up queued webhooks this much earlier. A notice for a webhook that was delivered in time after all
-/// does no harm.
+/// read the request. A delivery therefore counts as late from this long before the TTL ends here; the
+/// decision module gives up queued webhooks by the same margin. A notice for a webhook that was delivered in
+/// time after all does no harm.
 const LATE_DELIVERY_MARGIN_SECS: f64 = 0.005;
 
-/// The most webhooks that go from the backlog to the decision module in one turn of the event loop.
-const MAX_RESUMED_PER_TURN: usize = 100;
+/// The most webhooks that go from the backlog to the decision module in one iteration of the event loop.
+const MAX_RESUMED_PER_ITERATION: usize = 100;
 /// Delay before another try when the journal cannot be read.
 const READ_RETRY_DELAY_SECS: f64 = 0.1;
 
@@ -221,7 +221,7 @@
             return;
         }
         self.backlog_paused_until = None;
-        for _ in 0..MAX_RESUMED_PER_TURN {
+        for _ in 0..MAX_RESUMED_PER_ITERATION {
             let Some(webhook) = self.backlog.take_next(now) else { break };
             self.resume_webhook(now, webhook);
             if self.backlog_paused_until.is_some() {
@@ -400,7 +400,7 @@
 
     /// A client hands in a webhook. Returns the reply, and the webhook's number if it was accepted just now.
     pub fn hand_in(&mut self, now: f64, incoming: IncomingWebhook, body: Vec<u8>) -> (Reply, Option<u64>) {
-        // The webhook is handed in again because the client's connection was closed, or by another client.
+        // It is handed in again because the client's connection was closed, or by another client.
         // What was accepted first stays as it is, whether it is still open or has just ended.
         if self.recently_ended.contains(&incoming.id) || self.journal.find_open(&incoming.id).is_some() {
             self.counters.count(WebhookEvent::Duplicate);
@@ -576,9 +576,9 @@
     }
 
     /// When an endpoint last started, on this process's clock; 0 for long ago. The list gives it on a wall
-    /// clock, of which only two things are used. If the time differs from the one given before, the endpoint
-    /// started since the last update. And its age by the local wall clock, which may be wrong; at worst the
-    /// endpoint's load ramps up too slowly or too quickly.
+    /// clock, and only two things are used of it: whether it differs from the time given before, which means
+    /// that the endpoint started since the last update, and its age by the local wall clock. That clock may
+    /// be wrong; at worst the endpoint's load ramps up too slowly or too quickly.
     fn started_at(&self, now: f64, endpoint: &str, started_unix_ms: f64) -> f64 {
         if started_unix_ms <= 0.0 {
             return 0.0;
--- a/crates/sender/src/clients.rs
+++ b/crates/sender/src/clients.rs
@@ -67,7 +67,7 @@
 
 /// The webhook described by the headers of a request, or none if one is missing or invalid.
 fn decode_webhook(event_type: &str, headers: &Headers) -> Option<IncomingWebhook> {
-    // Ids are copied to headers and lines of other messages, so they must not contain blanks or line breaks.
+    // Ids are copied to headers and lines of other messages, so they must not contain spaces or line breaks.
     let id = |name| match headers.get(name) {
         Some(value)
             if !value.is_empty()
@@ -152,7 +152,7 @@
     /// Reads that were discarded since then.
     discarded_reads: usize,
     /// The number of the webhook whose 202 is not yet written completely.
-    pub unacknowledged: Option<u64>,
+    pub unreplied_webhook: Option<u64>,
 }
 
 impl Default for Client {
@@ -164,7 +164,7 @@
             awaits_first_request: true,
             closing: false,
             discarded_reads: 0,
-            unacknowledged: None,
+            unreplied_webhook: None,
         }
     }
 }
--- a/crates/sender/src/clients/tests.rs
+++ b/crates/sender/src/clients/tests.rs
@@ -12,7 +12,7 @@
     ReadBlocked,
     /// SIGTERM.
     Shutdown,
-    /// The sender closes the connection, as connections are short or its time limit has passed.
+    /// The sender closes the connection, as descriptors run short or the deadline has passed.
     BeginClose,
 }
 
--- a/crates/sender/src/clock.rs
+++ b/crates/sender/src/clock.rs
@@ -1,8 +1,8 @@
-//! A clock that survives restarts of the process: seconds on a timeline that the processes on one folder
-//! share and that changes of the wall clock do not affect. It runs on the system's clock since boot; the
-//! folder stores which boot that was and the timeline's offset from it. After a reboot the downtime is
-//! unknown, so the timeline continues far later than any time that the folder names: every time span that was
-//! running has then ended.
+//! A clock that survives restarts of the process: seconds on a timeline that is shared by all processes that
+//! use one folder (the state directory) and is not affected by changes of the wall clock. It runs on the
+//! system's clock since boot; the folder stores which boot that was and the timeline's offset from it. After
+//! a reboot the downtime is unknown, so the timeline continues far later than any time that the folder names:
+//! every time span that was running has then ended.
 
 use nix::time::{ClockId, clock_gettime};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -10,7 +10,7 @@
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
 /// The offset of a new timeline. Time spans that reach back before its start stay above 0.
 const INITIAL_OFFSET_SECS: f64 = 1e6;
-/// Longer than any repeat window or TTL.
+/// Longer than any token lifetime or TTL.
 const GAP_AFTER_REBOOT_SECS: f64 = 1e8;
 /// Stored times are rounded and may be later than the present by this much.
 const ROUNDING_TOLERANCE_SECS: f64 = 1e-3;
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -82,7 +82,8 @@
     zones: Vec<String>,
 }
 
-/// What the rate of an endpoint in the list means.
+/// What the rate of an endpoint in the list means. With all values but `None` it is used as the rate limit of
+/// the endpoint's destination.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum ListedRates {
@@ -113,9 +114,9 @@
     connect_timeout_ms: Option<f64>,
     max_attempts: u32,
     max_retry_after_ms: Option<f64>,
-    /// Accepted webhooks without a final answer, at most.
+    /// Open webhooks (accepted ones without a final answer) at most.
     #[serde(rename = "open-cap")]
-    max_pending: usize,
+    max_open: usize,
     /// Clients heed a `Retry-After` header.
     #[serde(rename = "retry-after", default)]
     heeds_retry_after: bool,
@@ -179,7 +180,7 @@
 struct DeliverySettings {
     /// The maximum number of webhooks in one call, by the position of the destination kind.
     #[serde(rename = "bundle-max", default)]
-    max_batches: Vec<usize>,
+    max_batch_sizes: Vec<usize>,
     /// `by_half` if the value of a late webhook halves with each further target latency.
     #[serde(rename = "decay")]
     value_decay: Option<String>,
@@ -302,7 +303,7 @@
         require("settings.instances", settings.sender_count > 0, "must be greater than zero")?;
         require("settings.classes", !settings.event_types.is_empty(), "must name at least one event type")?;
         require("settings.family-info.slots", settings.delivery.slots > 0, "must be greater than zero")?;
-        require("settings.caps.open-cap", settings.call_limits.max_pending > 0, "must be greater than zero")?;
+        require("settings.caps.open-cap", settings.call_limits.max_open > 0, "must be greater than zero")?;
         require(
             "settings.caps.max-attempts",
             settings.call_limits.max_attempts > 0,
@@ -387,7 +388,7 @@
             );
         }
         for (index, destination_kind) in settings.destination_kinds.iter().enumerate() {
-            let max_batch = settings.delivery.max_batches.get(index).copied().unwrap_or(1);
+            let max_batch = settings.delivery.max_batch_sizes.get(index).copied().unwrap_or(1);
             let independent = settings.delivery.independent_endpoints.get(index).copied().unwrap_or(false);
             sender.set_destination_kind(destination_kind, max_batch, independent);
         }
@@ -401,7 +402,7 @@
         }
         sender.set_limits(
             settings.delivery.slots,
-            settings.call_limits.max_pending,
+            settings.call_limits.max_open,
             settings.call_limits.max_attempts,
             settings.call_limits.may_cancel,
         );
@@ -428,9 +429,9 @@
         sender.set_key_cooldown(seconds_or(settings.timing.key_cooldown_ms, 0.0));
     }
 
-    /// The maximum numbers of calls in flight and of pending webhooks, and the number of senders.
+    /// The maximum numbers of calls in flight and of open webhooks, and the number of senders.
     pub fn capacity(&self) -> (usize, usize, u64) {
-        (self.settings.delivery.slots, self.settings.call_limits.max_pending, self.settings.sender_count)
+        (self.settings.delivery.slots, self.settings.call_limits.max_open, self.settings.sender_count)
     }
 
     /// True if the endpoint list has to be pulled from the platform, false if it is pushed.
@@ -471,7 +472,7 @@
         let position =
             self.settings.destination_kinds.iter().position(|known_kind| known_kind == destination_kind);
         position
-            .and_then(|index| self.settings.delivery.max_batches.get(index))
+            .and_then(|index| self.settings.delivery.max_batch_sizes.get(index))
             .map_or(1, |max_batch| (*max_batch).max(1))
     }
 
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -87,7 +87,7 @@
     still_ready: BTreeSet<usize>,
     /// More connections may be waiting to be accepted.
     accept_pending: bool,
-    /// No connection is accepted until this time, as the last attempt failed.
+    /// No connection is accepted until this time, as accepting the last one failed.
     accept_paused_until: f64,
     /// Connections may be waiting to be accepted until another one is closed or idle.
     accept_blocked: bool,
@@ -117,7 +117,7 @@
     let list_client = ListClient::new(config.known_list.version, config.pulls_list());
     let (max_clients, max_endpoints) = max_connections(&config.limits);
     let max_buffered_bytes = max_buffered_bytes(&config.limits);
-    let (name, (slots, max_pending, sender_count)) = (config.name.clone(), config.capacity());
+    let (name, (slots, max_open, sender_count)) = (config.name.clone(), config.capacity());
     let list_wanted = !config.pulls_list();
     let bridge = Bridge::open(config, journal, now);
     // Up to here SIGTERM ends the process at once, as it has not accepted any webhook. From here on it shuts
@@ -130,7 +130,7 @@
     poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
     poll.registry().register(&mut shutdown_signals, SHUTDOWN_SIGNALS, Interest::READABLE)?;
     poll.registry().register(&mut reload_signals, RELOAD_SIGNALS, Interest::READABLE)?;
-    info!(name, %listen, slots, holds = max_pending, senders = sender_count, "serving");
+    info!(name, %listen, slots, holds = max_open, senders = sender_count, "serving");
     let mut driver = Driver {
         poll,
         listener,
--- a/crates/sender/src/driver/clients.rs
+++ b/crates/sender/src/driver/clients.rs
@@ -14,7 +14,7 @@
 /// Time limit for a client to send one request, the first counted from its connect, or to read a response.
 /// The client must get a response or a close within 3 s.
 pub(super) const REQUEST_TIMEOUT_SECS: f64 = 2.0;
-/// How long a client's connection may be idle between requests. It may be closed after 2 s.
+/// How long a client's connection is kept open between requests. It must not be closed before 2 s.
 const CLIENT_IDLE_TIMEOUT_SECS: f64 = 2.2;
 /// Clients normally send a request as soon as they have connected. One that has sent nothing for this long is
 /// closed before others.
@@ -141,7 +141,7 @@
                         Err(reply) => (reply, None),
                     };
                     let is_last = !request.keep_alive || self.shutdown_at.is_some();
-                    (client.awaits_first_request, client.unacknowledged, client.stage) =
+                    (client.awaits_first_request, client.unreplied_webhook, client.stage) =
                         (false, number, Stage::Writing);
                     if is_last {
                         client.begin_close();
--- a/crates/sender/src/driver/connection.rs
+++ b/crates/sender/src/driver/connection.rs
@@ -35,7 +35,7 @@
     Refused,
     /// A deadline has passed.
     Timeout,
-    /// It was closed, or is about to be, while it was idle.
+    /// The peer has closed it, or is about to, while it was idle.
     Stale,
     /// The peer sent a message that was not requested.
     Unexpected,
@@ -67,7 +67,9 @@
 pub(super) enum Peer {
     Client(Client),
     Endpoint(EndpointConnection),
+    /// The platform's discovery service, for the endpoint list.
     List,
+    /// The same service, for notices of final answers.
     Notices,
 }
 
@@ -179,7 +181,7 @@
             Peer::Client(client) => {
                 self.client_count -= 1;
                 self.accept_pending |= self.accept_blocked;
-                if let Some(number) = client.unacknowledged {
+                if let Some(number) = client.unreplied_webhook {
                     self.bridge.withdraw(self.now, number);
                 }
             }
@@ -242,7 +244,7 @@
         connection.output.clear();
         connection.written_bytes = 0;
         match &mut connection.peer {
-            Peer::Client(client) => client.unacknowledged = None,
+            Peer::Client(client) => client.unreplied_webhook = None,
             Peer::Endpoint(EndpointConnection { call: Some(call), .. }) => call.written = true,
             _ => {}
         }
--- a/crates/sender/src/driver/endpoints.rs
+++ b/crates/sender/src/driver/endpoints.rs
@@ -156,14 +156,14 @@
                     // Decoded after each read, so that an endless response takes no more memory than a valid
                     // one.
                     response = response.or_else(|| endpoint.decoder.next_message().transpose());
-                    let (is_large, is_clear) = (
+                    let (is_large, is_between_messages) = (
                         endpoint.decoder.buffered_bytes() > SMALL_BUFFER_BYTES,
                         endpoint.decoder.is_between_messages(),
                     );
                     if response.is_none() && is_large && self.buffers_full(false) {
                         response = Some(Err(DecodeError::BodyTooBig));
                     }
-                    if response.is_some() && !is_clear {
+                    if response.is_some() && !is_between_messages {
                         break;
                     }
                 }
--- a/crates/sender/src/driver/event_loop.rs
+++ b/crates/sender/src/driver/event_loop.rs
@@ -87,8 +87,8 @@
         if self.list_wanted && self.list_connection.is_none() {
             self.connect_list();
         }
-        let (calls, unsendable) = self.bridge.take_calls(self.now);
-        self.failed_calls.extend(unsendable.into_iter().map(|call| (call, Outcome::Moot(true))));
+        let (calls, not_made) = self.bridge.take_calls(self.now);
+        self.failed_calls.extend(not_made.into_iter().map(|call| (call, Outcome::Moot(true))));
         for call in calls {
             self.start_call(call);
         }
--- a/crates/sender/src/endpoints.rs
+++ b/crates/sender/src/endpoints.rs
@@ -183,10 +183,10 @@
         EndpointConnection { name, call: None, decoder: Decoder::for_responses(MAX_RESPONSE_BODY_BYTES) }
     }
 
-    /// The results of a call whose connection broke, or for which the sender stopped waiting. `otherwise` is
-    /// the outcome if the response so far says nothing else and the call was written.
+    /// The results of a call whose connection broke, or for which the sender stopped waiting.
+    /// `outcome_if_no_response` applies if the call was written and the response so far says nothing else.
     pub fn results_when_cut_short(
-        &mut self, call: &Call, otherwise: Outcome,
+        &mut self, call: &Call, outcome_if_no_response: Outcome,
     ) -> (Vec<AttemptResult>, ResponseHead) {
         let count = call.webhooks.len();
         if let Some(response) = self.decoder.end_of_stream() {
@@ -201,7 +201,7 @@
             self.decoder.pending_head().map(|head| head.status).or_else(|| self.decoder.pending_status());
         let outcome = match status {
             Some(200) if count == 1 => Outcome::Delivered,
-            _ if call.written => otherwise,
+            _ if call.written => outcome_if_no_response,
             _ => Outcome::ConnectFailed,
         };
         (vec![outcome.into(); count], ResponseHead::default())
--- a/crates/sender/src/journal.rs
+++ b/crates/sender/src/journal.rs
@@ -1,7 +1,7 @@
-//! The persistent journal: accepted webhooks, the attempts made for them, and final answers that the platform
-//! has not yet acknowledged. Each webhook has a number, in the order of acceptance. Records are kept in a
-//! [`Store`]; in memory a webhook takes a few dozen bytes, and its body, id and names are read from disk when
-//! needed.
+//! The persistent journal in the state directory (here called the folder): accepted webhooks, the attempts
+//! made for them, and final answers that the platform has not yet acknowledged. Each webhook has a number, in
+//! the order of acceptance. Records are kept in a [`Store`]; in memory a webhook takes a few dozen bytes, and
+//! its body, id and names are read from disk when needed.
 
 mod attempts;
 mod cache;
@@ -162,9 +162,9 @@
         expiry_times.fold(self.attempts.last_attempt_at(), f64::max)
     }
 
-    /// Converts a folder whose times are Unix time: how long ago they were is unknown. Its version may have
-    /// recorded an attempt that may have run as one that had not, so each webhook whose attempts are only
-    /// counted is marked.
+    /// Converts a folder whose times are Unix time: how long ago they were is unknown. The version that wrote
+    /// it may have taken an attempt that may have run for one that had not and only counted it, so each
+    /// webhook whose attempts are only counted is marked as having one that may have run.
     fn convert_from_unix_time(&mut self, reading: &BootReading) -> io::Result<()> {
         for number in self.attempts.only_counted() {
             let mut history = self.attempts.get(number);
@@ -278,7 +278,7 @@
             self.open_ids.range((id_hash, 0)..=(id_hash, u64::MAX)).map(|entry| entry.1).collect();
         candidates.into_iter().find(|number| match self.read_webhook(*number) {
             Ok(Some(webhook)) => webhook.id == id,
-            // Unreadable: refusing a new webhook is better than accepting one twice.
+            // It may be this one: not recording a new webhook is better than recording one twice.
             Err(_) => true,
             Ok(None) => false,
         })
--- a/crates/sender/src/journal/attempts.rs
+++ b/crates/sender/src/journal/attempts.rs
@@ -51,8 +51,8 @@
         starts.map(|start| start.started_at).fold(f64::NEG_INFINITY, f64::max)
     }
 
-    /// The webhooks for which only the number of attempts is known, but no attempt that is in flight or may have
-    /// run.
+    /// The webhooks for which only the number of attempts is known, but no attempt that is in flight or may
+    /// have run.
     pub fn only_counted(&self) -> Vec<u64> {
         let only_counted = |history: &CompactHistory| {
             history.count > 0 && history.in_flight.is_none() && history.may_have_run.is_none()
@@ -83,7 +83,7 @@
             self.zones.push(zone.clone());
             self.zones.len() - 1
         });
-        // Zones beyond the 65,535th share one index. No endpoint list has ever named that many.
+        // Zones beyond the 65,535th share its index. No endpoint list has ever named that many.
         let zone_index =
             u16::try_from(position + 1).ok().and_then(NonZeroU16::new).unwrap_or(NonZeroU16::MAX);
         CompactStart { zone_index, started_at: *started_at }
--- a/crates/sender/src/journal/legacy.rs
+++ b/crates/sender/src/journal/legacy.rs
@@ -1,4 +1,5 @@
-//! Reads the journal of the versions before segments: one file of records, each with its length and checksum.
+//! Reads the journal of the versions that did not yet split it into segments: one file of records, each with
+//! its length and checksum.
 
 use super::records::{AttemptHistory, AttemptStart, FinalAnswer, Webhook};
 use super::{Journal, MAX_ENDED_IDS};
@@ -31,7 +32,7 @@
 
 enum Entry {
     Open {
-        /// Where the record of the webhook starts.
+        /// Where the record of the webhook starts in the file, and its length, both in bytes.
         offset: u64,
         length: usize,
         history: AttemptHistory,
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -1,5 +1,5 @@
-//! The parts of the `scalebarrow` program, a sender of webhooks. All decisions and protocols are free of
-//! input and output and can be tested without sockets: the [`bridge`] to the decision module, the state
+//! The parts of the `scalebarrow` program, a sender of webhooks. The parts that decide and that implement
+//! protocols do no I/O and can be tested without sockets: the [`bridge`] to the decision module, the state
 //! machines of the program's peers ([`list`], [`notices`], [`endpoints`], [`clients`]) and the decoding of
 //! HTTP messages ([`http`]). The [`journal`] stores what has to survive a restart, [`config`] reads the
 //! configuration, and the [`driver`] connects everything to sockets, timers and signals.
--- a/crates/sender/src/list.rs
+++ b/crates/sender/src/list.rs
@@ -4,14 +4,14 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// After a request that failed, was refused or timed out, a change of the list counts as received this long
-/// after the discovery service had it and could be reached.
+/// After a request that failed, was refused or timed out, the platform counts a change of the list as
+/// received by the sender this long after the discovery service had it and could be reached.
 pub const CHANGE_DEADLINE_SECS: f64 = 6.0;
 /// How long the server may hold a watch (a request for changes) without changes. Where lists are pushed, a
 /// local agent answers at no cost, and its changes count as received whether or not a watch is open: a lost
 /// watch has to be detected soon. Where lists are pulled, each request costs the platform, and a change
-/// missed by a lost watch counts as received 2 s after the wait ends, so the wait is a third of what the
-/// platform allows.
+/// missed by a lost watch counts as received 2 s after the wait ends; the wait is a third of the longest that
+/// the platform allows.
 const PUSH_WATCH_MS: u64 = 2_000;
 const PULL_WATCH_MS: u64 = 20_000;
 /// The same for a request after a failure: missed changes are sent at once, so a response without
--- a/crates/sender/src/withheld.rs
+++ b/crates/sender/src/withheld.rs
@@ -1,12 +1,13 @@
 //! Final answers that are not yet reported because their journal record could not be written. Without the
 //! record, the next process after a kill would not know of the answer and would make another attempt.
 
-/// Delay between two tries to write the missing records.
+/// Delay before another try to write the missing records.
 pub const RETRY_DELAY_SECS: f64 = 0.1;
 
 /// A webhook whose final answer is not yet reported.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Entry {
+    /// The webhook's number in the journal.
     number: u64,
     /// From this time on no process makes another attempt for it.
     expires_at: f64,
--- a/crates/sender/tests/bridge.rs
+++ b/crates/sender/tests/bridge.rs
@@ -123,8 +123,8 @@
     assert_eq!(hand_in(&mut bridge, 101.0, "new-other", "other", 50.0), Reply::Accepted);
     assert_eq!(called_ids(&mut bridge, 101.0), ["new-other"]);
     let mut sent_ids = Vec::new();
-    for turn in 0..3000 {
-        let now = 101.0 + f64::from(turn) * 0.01;
+    for iteration in 0..3000 {
+        let now = 101.0 + f64::from(iteration) * 0.01;
         bridge.run_maintenance(now);
         bridge.take_actions();
         bridge.wake(now);
