--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -94,7 +94,7 @@
     Live,
 }
 
-/// The costs of routes to endpoints.
+/// The costs of routes to endpoints. They have no unit: only their order matters.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct RouteCosts {
@@ -181,17 +181,19 @@
     /// The maximum number of webhooks in one call, by the position of the destination kind.
     #[serde(rename = "bundle-max", default)]
     max_batch_sizes: Vec<usize>,
-    /// `by_half` if the value of a late webhook halves with each further target latency.
+    /// `by_half` if the value of a late webhook halves with each further target latency; otherwise it falls
+    /// linearly until the TTL ends.
     #[serde(rename = "decay")]
     value_decay: Option<String>,
-    /// Whether the endpoints of a destination are independent, by the position of the destination kind.
+    /// Whether the endpoints of a destination are independent (each has rate limits and outages of its own),
+    /// by the position of the destination kind.
     #[serde(rename = "routes-apart", default)]
     independent_endpoints: Vec<bool>,
     /// Calls in flight at most.
     slots: usize,
 }
 
-/// A customer with its quota of webhooks per second.
+/// A customer with its quota of webhooks per second, from all senders together.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct Customer {
@@ -207,7 +209,7 @@
     channel: String,
 }
 
-/// Rules for list requests, cold destinations and ordering keys.
+/// Rules for list requests, cold destinations (just started or back from an outage) and ordering keys.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct TimingRules {
@@ -217,7 +219,7 @@
     /// The share of its capacity that a cold destination has at first.
     #[serde(rename = "cold-from")]
     cold_initial_share: Option<f64>,
-    /// How long a destination is cold.
+    /// How long a destination is cold; its capacity grows meanwhile.
     #[serde(rename = "cold-ms")]
     cold_warm_up_ms: Option<f64>,
     /// The multiple of its capacity at which a destination fails.
