--- a/crates/fault-control/src/lib.rs
+++ b/crates/fault-control/src/lib.rs
@@ -59,7 +59,8 @@
     ];
 }
 
-/// How writes to the state folder fail.
+/// How writes to the state folder fail. With every variant except `None`, creating, truncating, syncing and
+/// renaming its files fails as well, with the same error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[repr(u64)]
 pub enum FolderFault {
@@ -70,9 +71,9 @@
     NoSpace,
     /// Nothing is written, and the call fails with EIO.
     IoError,
-    /// Each call writes half of its bytes; a call for a single byte fails with ENOSPC.
+    /// Each write transfers half of its bytes; a write of a single byte fails with ENOSPC.
     NoSpaceAfterHalf,
-    /// Each call writes half of its bytes; a call for a single byte fails with EIO.
+    /// Each write transfers half of its bytes; a write of a single byte fails with EIO.
     IoErrorAfterHalf,
 }
 
--- a/crates/scale/src/capacity/figures.rs
+++ b/crates/scale/src/capacity/figures.rs
@@ -21,7 +21,8 @@
     pub figure: &'a Figure,
     /// `None` if a slope that it depends on is not measured.
     pub value: Option<Value>,
-    /// The count that its slope is multiplied with; `None` for a formula and if it is not measured.
+    /// The count that its slope is multiplied with; `None` for a formula, and if the count depends on
+    /// something that is not measured.
     pub count: Option<f64>,
     pub limit: Option<f64>,
 }
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -102,7 +102,8 @@
     pub max_pending: usize,
     /// Calls that one sender may have in flight at once.
     pub slots: usize,
-    /// Sockets that one sender may have open.
+    /// Sockets that one sender may have open. Not used if there are hollow senders, for which, and for the
+    /// real ones beside them, fixed limits apply.
     pub max_sockets: usize,
     /// The most that the state folder of one sender may contain.
     pub disk_limit_mb: f64,
--- a/crates/scale/src/soak/fault_injection.rs
+++ b/crates/scale/src/soak/fault_injection.rs
@@ -114,8 +114,8 @@
     })
 }
 
-/// Closes the listeners of a destination, or opens them again. The list then names the present as the time at
-/// which its endpoints started.
+/// Begins a crash by closing the listeners of a destination, or ends it by opening them again. At the end the
+/// list is updated, too, with the present as the time at which the endpoints started.
 fn set_crash(testbed: &Testbed, destination: usize, begins: bool) -> Result<(), Error> {
     set_outage(testbed, destination, begins.then_some(Behaviour::Silent))?;
     let addresses: Vec<_> = testbed
@@ -203,8 +203,8 @@
     with_receivers(testbed, move |receivers, _| receivers.set_answer_path(address, answer_path))
 }
 
-/// Injects the faults of one sender. At the end its process runs and no fault is active. Returns how often it
-/// was started again.
+/// Injects the faults of one sender. At the end its process runs and no fault of the shim is active except
+/// the step of the wall clock. Returns how often the process was started again.
 pub fn inject_sender_faults(
     testbed: &Testbed, subject: &mut SenderUnderTest, factory: &ClientFactory, plan: &Plan,
     began_at: Instant, stop: &StopFlag,
--- a/crates/scale/src/soak/plan.rs
+++ b/crates/scale/src/soak/plan.rs
@@ -155,8 +155,9 @@
     pub kind: FaultKind,
     /// The number of the sender, destination or endpoint.
     pub target: usize,
-    /// Its size, in the unit that its kind defines: seconds of a clock step or wait, milliseconds of a pause,
-    /// a count of clients or configurations, or the number of a `FolderFault`.
+    /// Its size, in the unit that its kind defines: seconds of a clock step, a wait, a late answer or the
+    /// time until the second kill, milliseconds of a pause, a count of clients or configurations, or the
+    /// number of a `FolderFault`.
     pub amount: f64,
 }
 
--- a/crates/scale/src/soak/plan_generator.rs
+++ b/crates/scale/src/soak/plan_generator.rs
@@ -62,8 +62,8 @@
     let target = match kind {
         _ if kind.targets_sender() => rng.below(settings.sender_count),
         FaultKind::DiscoverySilent => 0,
-        // Drains and connection faults get different endpoints. Where a proxy delays calls, it is not certain
-        // that a call which arrives after the drain was also sent after it.
+        // Drains and connection faults get different endpoints. Where a proxy delays a connection, it is not
+        // certain that a call which arrives after the drain was also sent after it.
         FaultKind::Drain => rng.below(destination_count) * ENDPOINTS_PER_DESTINATION + 1,
         _ if kind.is_connection_fault() => rng.below(destination_count) * ENDPOINTS_PER_DESTINATION,
         _ if kind.is_outage() || kind == FaultKind::Wait => rng.below(destination_count),
--- a/crates/scale/src/soak/run.rs
+++ b/crates/scale/src/soak/run.rs
@@ -40,8 +40,8 @@
     pub counts: RunCounts,
     /// How often senders were started again.
     restarts: u32,
-    /// Pauses after clock reads, failed or short socket calls, and failed writes to the state folder, as the
-    /// fault shim counted them.
+    /// Pauses after clock reads, failed or short socket calls, and failed or short calls on the state folder,
+    /// as the fault shim counted them.
     shim_faults: [u64; 3],
     reported_breaches: Vec<ReportedBreach>,
 }
@@ -72,7 +72,7 @@
     }
 }
 
-/// Runs a plan. The senders' logs are copied to the folder `logs` if there is one.
+/// Runs a plan. The senders' logs are copied to the folder `logs` if one is given.
 pub fn run_plan(
     program: &Path, plan: &Plan, logs: Option<&Path>, guard: &Arc<Guard>,
 ) -> Result<RunOutcome, Error> {
--- a/crates/scale/src/standins/judge/returns.rs
+++ b/crates/scale/src/standins/judge/returns.rs
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Records a call. Returns the breach at the first call that overloads the destination, if most of the
-    /// calls are from senders that saw the outage.
+    /// Records a call. Returns the breach at the first call that overloads the destination, if at least
+    /// two thirds of the calls in the overload window are from senders that saw the outage.
     pub fn check_call(&mut self, id: WebhookId, at: f64) -> Option<String> {
         let outage = self.outages.get_mut(&id.destination)?;
         let since_return_secs = at - outage.ended_at?;
--- a/crates/scale/src/standins/receivers.rs
+++ b/crates/scale/src/standins/receivers.rs
@@ -90,7 +90,7 @@
 pub struct Receivers {
     judge: SharedJudge,
     default_behaviour: Behaviour,
-    /// By destination; these go before the behaviours of endpoints.
+    /// By destination; these take precedence over the behaviours of endpoints.
     destination_behaviours: HashMap<u32, Behaviour>,
     endpoints: HashMap<SocketAddr, EndpointState>,
     last_calls: HashMap<ConnectionId, LastCall>,
@@ -141,8 +141,8 @@
         self.default_behaviour = behaviour;
     }
 
-    /// Sets how all receivers of one destination answer. `None` returns to those of its endpoints or to the
-    /// default.
+    /// Sets how all receivers of one destination answer. `None` returns to the behaviours of its endpoints or
+    /// the default.
     pub fn set_destination_behaviour(&mut self, destination: u32, behaviour: Option<Behaviour>) {
         match behaviour {
             Some(behaviour) => self.destination_behaviours.insert(destination, behaviour),
--- a/crates/scale/src/standins/server.rs
+++ b/crates/scale/src/standins/server.rs
@@ -192,7 +192,7 @@
                 .timer_queue
                 .peek()
                 .map(|Reverse((timer_at, _))| timer_at.saturating_duration_since(Instant::now()));
-            // The system call rounds the timeout to whole milliseconds; being a little late is accurate
+            // The system call rounds the timeout up to whole milliseconds; being a little late is accurate
             // enough here.
             match self.poll.poll(&mut events, timeout.map(|timeout| timeout + Duration::from_micros(1))) {
                 Err(error) if error.kind() != ErrorKind::Interrupted => return,
--- a/crates/scale/src/verbs/slope/held.rs
+++ b/crates/scale/src/verbs/slope/held.rs
@@ -166,7 +166,7 @@
         refused = answers.refused,
         unheard = answers.unanswered,
         took = ?began_at.elapsed(),
-        "the backlog is filled"
+        "stopped filling the backlog"
     );
     if is_filled {
         Ok(())
--- a/crates/scale/src/verbs/slope/mod.rs
+++ b/crates/scale/src/verbs/slope/mod.rs
@@ -1,5 +1,5 @@
 //! The verb `slope`: measures quantities at several counts, fits a line to each, and writes the lines to the
-//! slope file.
+//! slopes file.
 
 pub mod destinations;
 pub mod held;
@@ -51,7 +51,7 @@
         if has_hollow { MeasurementKind::Emulated } else { MeasurementKind::Real }
     }
 
-    /// One counted thing, as the slope file calls it.
+    /// One counted thing, as the slopes file calls it.
     fn unit(self) -> &'static str {
         match self {
             Counted::Destinations => "destination listed",
@@ -111,10 +111,10 @@
     }
 }
 
-/// A quantity that is measured, as the slope file describes it.
+/// A quantity that is measured, as the slopes file describes it.
 #[derive(Debug, Clone, Copy)]
 pub struct Quantity {
-    /// Its name in the slope file.
+    /// Its name in the slopes file.
     pub id: &'static str,
     /// The party that it belongs to, such as `sender`.
     pub role: &'static str,
@@ -142,7 +142,7 @@
     })
 }
 
-/// Measures, prints each value, and writes the slopes of the first program to the slope file.
+/// Measures, prints each value, and writes the slopes of the first program to the slopes file.
 pub fn run(options: &Options, stop: &StopFlag) -> Result<(), Error> {
     let points =
         options.points.as_deref().map_or(Ok(options.counted.default_points().to_vec()), parse_counts)?;
--- a/crates/scale/tests/judge.rs
+++ b/crates/scale/tests/judge.rs
@@ -551,7 +551,7 @@
             12.0,
             &[],
         ),
-        // A new process's grace period begins when it is ready.
+        // A new process's grace period begins when it is ready; before that its calls break no drain.
         (
             "new process within its grace period",
             &after_drain_listed(&[
--- a/crates/scale/tests/slopes.rs
+++ b/crates/scale/tests/slopes.rs
@@ -1,4 +1,4 @@
-//! The slope file, and the line that is fitted to points.
+//! The slopes file, and the line that is fitted to points.
 
 use scalebarrow_scale::slopes::{FittedLine, MeasurementKind, Slope, SlopeFile};
 
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn put_replaces_one_slope_and_keeps_names_and_points_sorted() {
+fn insert_replaces_one_slope_and_keeps_names_and_points_sorted() {
     let folder = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(std::process::id().to_string());
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("slopes.json");
