--- a/crates/emulator/src/baselines.rs
+++ b/crates/emulator/src/baselines.rs
@@ -86,7 +86,8 @@
         self.routes_by_destination.values_mut().flatten().find(|route| route.endpoint == endpoint)
     }
 
-    /// Gives the webhook its final answer: rejected where a repeat is harmless, else dead-lettered.
+    /// Gives the webhook its final answer: rejected if it cannot have run or a repeat is harmless, else
+    /// dead-lettered.
     fn give_up(&mut self, webhook_id: u64, actions: &mut dyn ActionSink) {
         let Some(webhook) = self.pending.remove(&webhook_id) else { return };
         let event_type = &self.world.event_types[webhook.event_type_id];
--- a/crates/emulator/src/events.rs
+++ b/crates/emulator/src/events.rs
@@ -13,13 +13,13 @@
     Failed,
     /// Refused by a limit or a full queue, without running.
     Full,
-    /// No answer before the attempt's deadline.
+    /// No answer before the attempt's deadline; the webhook may have run.
     TimedOut,
     /// No connection could be opened.
     ConnectFailed,
     /// The connection broke; the webhook may have run.
     Reset,
-    /// The policy cancelled the attempt.
+    /// The policy cancelled the attempt; the webhook may have run.
     Cancelled,
     /// Never attempted: no slot was free, the webhook had its final answer, or its attempts were used up.
     Moot,
@@ -79,7 +79,7 @@
         #[serde(rename = "ep")]
         endpoint_id: u32,
     },
-    /// An attempt ended; `wait` is how long the endpoint asked the sender to wait (0: no request).
+    /// An attempt ended; `wait` is how long a refusal asked the sender to wait (0: no request).
     Outcome {
         #[serde(rename = "webhook")]
         webhook_id: u64,
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -235,7 +235,8 @@
         (limit.left(factor), limit.per_s * factor)
     }
 
-    /// How long a used-up limit stays so; 0 where something is left.
+    /// How long the fixed window of a used-up limit still lasts; 0 where something is left, and for limits
+    /// without a fixed window.
     pub fn limit_used_up_for(&self, now: Nanos, endpoint_id: u32) -> Nanos {
         let endpoint = &self.endpoints[endpoint_id as usize];
         let destination = &self.destinations[endpoint.destination_id as usize];
@@ -244,8 +245,8 @@
         if limit.kind == LimitBy::Span && limit.left(1.0) == 0.0 && ends_at > now { ends_at - now } else { 0 }
     }
 
-    /// Records a token, and returns whether the webhook is a duplicate to be dropped: its token was seen less
-    /// than `lifetime` ago by any endpoint of the destination, or by one of the same zone.
+    /// Records a token, and returns whether the webhook is a duplicate to be dropped: its token was first
+    /// seen at most `lifetime` ago by an endpoint of the same zone, or of any zone where these share tokens.
     pub fn is_duplicate(
         &mut self, now: Nanos, endpoint_id: u32, token: u64, shared_by_zones: bool, lifetime: Nanos,
     ) -> bool {
@@ -296,7 +297,7 @@
 
     /// Counts a call that reaches an endpoint, and returns the endpoints that it overloads: the cold ones,
     /// where more calls came within `overload_span_s` than `overload_multiple` times what all that share
-    /// outages can do now.
+    /// outages can do now, plus a margin for chance.
     pub fn overloaded_by_call(&mut self, now: Nanos, endpoint_id: u32, rules: &RuleSettings) -> Vec<u32> {
         let group = self.outage_group(endpoint_id);
         let (mut capacity, mut cold) = (0.0, Vec::new());
--- a/crates/emulator/src/rules.rs
+++ b/crates/emulator/src/rules.rs
@@ -14,9 +14,11 @@
 pub enum Rule {
     /// Each webhook gets exactly one final answer within its TTL, and is not sent after it.
     Lost,
-    /// No webhook takes effect twice.
+    /// No message takes effect twice, and none that may have run is repeated or rejected where that could do
+    /// harm.
     Twice,
-    /// Nothing is sent to an endpoint that drains or has left the list.
+    /// Nothing is sent, after a grace time, to an endpoint that the sender knows as draining or gone from the
+    /// list.
     Drains,
     /// A destination that returns from an outage is not overloaded by senders that saw the outage.
     Returns,
@@ -70,9 +72,9 @@
     endpoints_down: u32,
     began_at: Nanos,
     ended_at: Option<Nanos>,
-    /// Time and sender of the calls within `overload_span`.
+    /// Time and sender of the calls of the last `overload_span`, recorded while the group warms up.
     recent_calls: VecDeque<(Nanos, u32)>,
-    /// When each sender last saw a call fail there.
+    /// When each sender last saw a call fail or be refused there.
     failure_seen_at: BTreeMap<u32, Nanos>,
 }
 
@@ -105,7 +107,7 @@
     outages: BTreeMap<RouteGroup, Outage>,
     violations: Vec<Violation>,
     /// Violations beyond those that are kept.
-    unlisted_violations: u64,
+    omitted_violations: u64,
 }
 
 impl RuleChecker {
@@ -143,7 +145,7 @@
             key_cooldowns: BTreeMap::new(),
             outages: BTreeMap::new(),
             violations: Vec::new(),
-            unlisted_violations: 0,
+            omitted_violations: 0,
         }
     }
 
@@ -154,7 +156,7 @@
         if self.violations.iter().filter(|violation| violation.rule == rule).count() < 20 {
             self.violations.push(Violation { rule, at_s: seconds(at), text });
         } else {
-            self.unlisted_violations += 1;
+            self.omitted_violations += 1;
         }
     }
 
@@ -401,8 +403,8 @@
             state.key,
             usize::from(state.event_type_id),
         );
-        // A webhook whose TTL ended while its sender was dead has to be answered when the sender starts
-        // again.
+        // A webhook whose TTL ended while its sender was dead has to be answered at once when the sender
+        // runs again.
         let running_since = self.running_since[sender_id as usize].unwrap_or(0);
         let answered = matches!(
             final_answer,
@@ -452,7 +454,7 @@
         finished.into_iter().for_each(|(key, webhook_id)| self.leave_key_queue(sender_id, key, webhook_id));
     }
 
-    /// An overloaded destination breaks the rule only if the load came from senders that knew of the outage.
+    /// An overload breaks the rule only if most of the load came from senders that saw the outage.
     fn check_overload(&mut self, now: Nanos, endpoint_id: u32) {
         let route_group = self.groups[endpoint_id as usize];
         let Some(outage) = self.outages.get(&route_group) else { return };
@@ -464,7 +466,7 @@
                 outage.failure_seen_at.get(&call.1).is_some_and(|seen_at| *seen_at >= outage.began_at)
             })
             .count();
-        // The rule is broken where senders that saw the outage brought two thirds of the load.
+        // The rule is broken where senders that saw the outage brought at least two thirds of the load.
         if total > 0 && 3 * informed >= 2 * total {
             let text = format!(
                 "destination {} was overloaded, {informed} of {total} calls by senders that saw its outage",
@@ -493,8 +495,8 @@
             }
         }
         self.violations.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
-        if self.unlisted_violations > 0 {
-            let text = format!("{} further violations are not listed", self.unlisted_violations);
+        if self.omitted_violations > 0 {
+            let text = format!("{} further violations are not listed", self.omitted_violations);
             let rule = self.violations.last().map_or(Rule::Lost, |violation| violation.rule);
             self.violations.push(Violation { rule, at_s: seconds(ended_at), text });
         }
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -74,8 +74,8 @@
     customer_id: Option<u16>,
     first_handed_in_at: Nanos,
     ttl_at: Nanos,
-    /// Rejections that the client has answered by handing it in again.
-    resubmissions: u32,
+    /// How often a sender rejected it.
+    rejections: u32,
     /// The webhook it is now or was last; 0 before the first.
     webhook_id: u64,
     /// The client does no more with it.
--- a/crates/emulator/src/run/calls.rs
+++ b/crates/emulator/src/run/calls.rs
@@ -448,7 +448,7 @@
         self.fleet.endpoints[endpoint_id as usize].connections -= closed;
     }
 
-    /// An answer arrives at the sender; its connection becomes idle.
+    /// An answer or a connection failure arrives at the sender; after an answer the connection becomes idle.
     pub(super) fn on_answer(
         &mut self, now: Nanos, call_key: CallKey, result: AttemptResult, wait: Nanos,
         limit_report: Option<(f64, f64)>,
--- a/crates/emulator/src/run/clients.rs
+++ b/crates/emulator/src/run/clients.rs
@@ -83,7 +83,7 @@
             && generator.random::<f64>() < clients.withdraw_share)
             .then(|| clients.withdraw_delay_s.draw(generator));
         let (message_id, ttl_at) = (self.messages.len() as u64, now + nanos(ttl_left_s));
-        let (resubmissions, webhook_id, settled) = (0, 0, false);
+        let (rejections, webhook_id, settled) = (0, 0, false);
         self.messages.push(Message {
             event_type_id,
             destination_id,
@@ -91,7 +91,7 @@
             customer_id,
             first_handed_in_at: now,
             ttl_at,
-            resubmissions,
+            rejections,
             webhook_id,
             settled,
         });
@@ -119,18 +119,18 @@
         self.queue.put(now + delay, Event::HandIn { message_id, sender_id });
     }
 
-    /// Schedules the client's next hand-in, unless that would be after the TTL.
-    pub(super) fn schedule_retry(&mut self, now: Nanos, message_id: u64, retry_after: f64) {
+    /// Schedules the client's next hand-in, or settles the message where that would be after the TTL.
+    pub(super) fn schedule_retry(&mut self, now: Nanos, message_id: u64, retry_after_s: f64) {
         let clients = &self.world.clients;
         let message = &self.messages[message_id as usize];
         let growth = if clients.retry_delay_doubles {
-            f64::from(1_u32 << message.resubmissions.saturating_sub(1).min(6))
+            f64::from(1_u32 << message.rejections.saturating_sub(1).min(6))
         } else {
             1.0
         };
         let mut delay_s = clients.retry_delay_s.draw(&mut self.generators.clients) * growth;
-        if retry_after > 0.0 && self.generators.clients.random::<f64>() < clients.heed_retry_after_share {
-            delay_s = retry_after;
+        if retry_after_s > 0.0 && self.generators.clients.random::<f64>() < clients.heed_retry_after_share {
+            delay_s = retry_after_s;
         }
         // At least 1 ms: no client is faster, and time has to pass between two hand-ins.
         let at = now + nanos(delay_s.max(0.001));
--- a/crates/emulator/src/run/endpoint_list.rs
+++ b/crates/emulator/src/run/endpoint_list.rs
@@ -40,7 +40,7 @@
         );
     }
 
-    /// Sends changed entries to all senders that get changes now.
+    /// Sends changed entries to the running senders: to all, or to those with a watch where one is required.
     pub(super) fn broadcast_list_change(&mut self, now: Nanos, endpoint_ids: &[u32]) {
         for sender_id in 0..self.hosts.len() as u32 {
             let host = &self.hosts[sender_id as usize];
--- a/crates/emulator/src/run/senders.rs
+++ b/crates/emulator/src/run/senders.rs
@@ -77,7 +77,7 @@
 
     /// Records a webhook's final answer; its client is done with the message or hands it in again.
     pub(super) fn record_final_answer(
-        &mut self, now: Nanos, webhook_id: u64, final_answer: FinalAnswer, retry_after: f64,
+        &mut self, now: Nanos, webhook_id: u64, final_answer: FinalAnswer, retry_after_s: f64,
     ) {
         let Some(webhook) =
             (webhook_id as usize).checked_sub(1).and_then(|index| self.webhooks.get_mut(index))
@@ -113,11 +113,11 @@
             }
             FinalAnswer::Rejected => {
                 counts.rejected += 1;
-                message.resubmissions += 1;
-                if message.settled || message.resubmissions > self.world.clients.max_retries {
+                message.rejections += 1;
+                if message.settled || message.rejections > self.world.clients.max_retries {
                     self.settle_message(message_id);
                 } else {
-                    self.schedule_retry(now, message_id, retry_after);
+                    self.schedule_retry(now, message_id, retry_after_s);
                 }
             }
             FinalAnswer::DeadLettered => {
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -466,7 +466,7 @@
     /// Whether senders have to watch the list to get its changes; otherwise they get them unasked.
     #[serde(rename = "ask")]
     pub watch_required: bool,
-    /// How long a sender may go without a watch.
+    /// How long a sender may go without requesting a watch.
     #[serde(rename = "within_s")]
     pub max_watch_interval_s: f64,
     /// Time from a change until it reaches a sender.
@@ -494,11 +494,11 @@
     /// Time after which it has all of its capacity again.
     #[serde(rename = "warm_s")]
     pub warm_up_s: f64,
-    /// A cold destination goes down again where more than this multiple of its present capacity is sent to
-    /// it.
+    /// A cold destination goes down again where more calls reach it than this multiple of its present
+    /// capacity, plus a margin for chance.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// Time over which its calls are counted for that.
+    /// Time span over which the calls are counted for that.
     #[serde(rename = "fall_s")]
     pub overload_span_s: f64,
     /// How long an overloaded endpoint stays down.
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -1,4 +1,4 @@
-//! A day is determined by its world, seed and policy, and every message of it is accounted for.
+//! A day is determined by its world, seed and policy, and every accepted webhook is accounted for.
 
 mod helpers;
 use helpers::{fault, mixed_world, play};
--- a/crates/emulator/tests/helpers/mod.rs
+++ b/crates/emulator/tests/helpers/mod.rs
@@ -124,13 +124,14 @@
     destination: u64,
     in_flight: bool,
     attempts_made: u32,
+    /// An attempt may have run and a repeat could do harm.
     may_have_run: bool,
     ttl_at: f64,
 }
 
 /// A simple policy that keeps all rules, with and without faults, and can be given one flaw. It has one call
-/// at a time in flight to each destination, pauses after a failed one, and never repeats a webhook that may
-/// have run.
+/// at a time in flight to each destination, pauses after a failed one, and repeats a webhook that may have
+/// run only if its type is idempotent.
 pub struct Careful {
     flaw: Flaw,
     endpoints: BTreeMap<u64, Vec<(String, bool)>>,
--- a/crates/emulator/tests/rules.rs
+++ b/crates/emulator/tests/rules.rs
@@ -141,8 +141,8 @@
     assert_eq!(day.counts.falls, 0);
 }
 
-/// A repeat is decided while its token is known, but its connection opens after the token has expired: it
-/// would take effect a second time at its endpoint.
+/// A repeat is decided while its token is known, but its connection opens after the token has expired: in the
+/// log the attempt starts in time, but at its endpoint it would take effect a second time.
 #[test]
 fn a_repeat_whose_connection_opens_after_its_token_expired_is_not_sent() {
     let mut world = mixed_world(8.0);
