--- a/crates/sender/tests/program/crossings/closing.rs
+++ b/crates/sender/tests/program/crossings/closing.rs
@@ -45,7 +45,7 @@
     assert_eq!((response.status(), response.header("Connection")), (202, Some("close")));
     assert!(is_closed_cleanly(idle) && is_closed_cleanly(unread) && is_closed_cleanly(new_client));
     assert_eq!(read_message(&mut partial).unwrap().status(), 408);
-    // Clients that are connected just before the exit get a 503.
+    // Clients that are still connected just before the exit get a 503.
     let mut late_client = program.connect();
     late_client.write_all(&request("once-l")[..30]).unwrap();
     let response = read_message(&mut late_client).unwrap();
--- a/crates/sender/tests/program/helpers.rs
+++ b/crates/sender/tests/program/helpers.rs
@@ -239,7 +239,7 @@
 /// A configuration with the event types `idem` (idempotent), `token` (tokened) and `once` (at-most-once),
 /// each with a target latency of 2 s and a TTL of 8 s, and the destination kinds `plain`, and `bulk` with
 /// up to three webhooks in a call.
-pub fn config(listen_address: SocketAddr, discovery: SocketAddr, initial_list: &str) -> String {
+pub fn config(listen_address: SocketAddr, discovery_address: SocketAddr, initial_list: &str) -> String {
     let event_type = |name: &str, effect: &str| {
         format!(
             r#"{{"name":"{name}","aim-ms":2000.0,"deadline-ms":8000.0,"effect":"{effect}","group":"all","late-value":0.3,"repeat-window-ms":8000.0,"worth":1.0}}"#
@@ -249,7 +249,7 @@
         [event_type("idem", "free"), event_type("token", "guarded"), event_type("once", "single_shot")]
             .join(",");
     format!(
-        r#"{{"name":"n0","listen":"{listen_address}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
+        r#"{{"name":"n0","listen":"{listen_address}","discovery":"{discovery_address}","seed":"8c1f30d27a5be964",
 "limits":{{"cores":1.0,"memory_mb":192,"sockets":256,"disk_mb":3}},"known":{initial_list},
 "settings":{{"caps":{{"cancelling":true,"conn-idle-ms":5000.0,"connect-timeout-ms":1000.0,"max-attempts":6,
 "max-retry-after-ms":2000.0,"open-cap":300,"retry-after":false}},"classes":[{types}],
@@ -683,7 +683,7 @@
 pub struct DeliveryChecker {
     /// Ids of the webhooks that were answered with 202.
     accepted: Vec<String>,
-    /// The id of each call that was received in full, so that the webhook may have run.
+    /// The webhook id of each call that was received in full, so that the webhook may have run.
     called: Vec<String>,
     /// Ids of the webhooks that an endpoint reported as delivered before their TTL was over.
     delivered: Vec<String>,
--- a/crates/sender/tests/program/sockets.rs
+++ b/crates/sender/tests/program/sockets.rs
@@ -52,15 +52,15 @@
 
 #[test]
 fn the_first_response_decides_whether_a_retry_or_a_notice_follows() {
-    // Event type, the first response (`None`: a close without one), the number of calls, and whether a
-    // notice follows.
     let refusal_with_wait = "HTTP/1.1 429 no\r\nContent-Length: 0\r\nRetry-After: 0.400\r\n\r\n";
     let error = "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n";
     let gone = "HTTP/1.1 410 no\r\nContent-Length: 0\r\n\r\n";
-    // The body is cut off by the close of the connection; the status line decides.
+    // The body is shorter than its `Content-Length`; the status line decides.
     let truncated_ok = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal";
     let truncated_refusal = "HTTP/1.1 503 no\r\nContent-Length: 9\r\n\r\nhal";
     let invalid_prefix = "\u{7f}\u{3}HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n";
+    // Name, event type, the first response (`None`: a close without one), the number of calls, and whether a
+    // notice follows.
     let cases: [(&str, &str, Option<&'static str>, usize, bool); 11] = [
         ("a refusal with a wait is retried after it", "once", Some(refusal_with_wait), 2, false),
         ("a refusal is retried", "once", Some(REFUSAL_RESPONSE), 2, false),
@@ -216,8 +216,7 @@
     let mut first = accept();
     assert_eq!(read_message(&mut first).unwrap().id(), "x");
     let _filler = TcpStream::connect(address).unwrap();
-    // The connection for this webhook is opened in the iteration that accepts it, so before the 429 below
-    // is read.
+    // The connect for this webhook begins in the iteration that accepts it, so before the 429 below is read.
     assert_eq!(program.submit_webhook("idem", "y", 8000, b""), 202);
     let announced_at = Instant::now();
     first.write_all(b"HTTP/1.1 429 no\r\nRetry-After: 3.0\r\nContent-Length: 0\r\n\r\n").unwrap();
@@ -325,7 +324,7 @@
 
 #[test]
 fn repeated_kills_lose_no_webhook_and_repeat_no_at_most_once_call() {
-    // One in ten calls gets no response, one an error and one a reset.
+    // Of each ten calls one gets no response, one an error, and one a close without a response.
     let delivered = Arc::new(Mutex::new(BTreeSet::new()));
     let delivered_ids = delivered.clone();
     let (endpoint, platform, mut program) =
@@ -353,7 +352,7 @@
     while !pending.is_empty() {
         assert!(started_at.elapsed() < TEST_TIMEOUT, "no final answer for {pending:?}");
         if let Ok(notice) = platform.notices.recv_timeout(Duration::from_millis(20)) {
-            for id in notice.lines().filter_map(|l| l.split('"').nth(3)) {
+            for id in notice.lines().filter_map(|line| line.split('"').nth(3)) {
                 pending.remove(id);
             }
         }
@@ -808,7 +807,7 @@
         let program = Program::start(&platform, &initial_list, &[(&change.0, &change.1)]);
         let calls: Vec<_> = (0..=unanswered).map(|_| discovery.next_call().received_at).collect();
         let elapsed_secs = (calls[unanswered] - calls[0]).as_secs_f64();
-        assert!(elapsed_secs < deadline_secs, "the list was received after {elapsed_secs} s");
+        assert!(elapsed_secs < deadline_secs, "the list was requested again only after {elapsed_secs} s");
         // A silent discovery service is asked so often that its first response comes before a drain has to be
         // respected.
         assert!(calls.windows(2).skip(2).all(|pair| (pair[1] - pair[0]).as_secs_f64() < 0.6), "{calls:?}");
@@ -875,7 +874,8 @@
     current_second: u64,
     /// The number of calls in this second.
     calls_in_second: usize,
-    /// For each sender, when it was first told to wait and until when.
+    /// For each sender, when its last wait was announced and when it ends. A wait that is extended before
+    /// its end keeps the time of its first announcement.
     waits: BTreeMap<char, (Instant, Instant)>,
     /// Ids of the calls that came before their sender's wait was over.
     early_calls: Vec<String>,
--- a/crates/sender/tests/program/writes.rs
+++ b/crates/sender/tests/program/writes.rs
@@ -73,25 +73,29 @@
         .flat_map(|number| webhook_request("idem", &format!("w{number}"), 60_000, b""))
         .collect();
     let accepted_count = || program.log().matches("code=\"taken\"").count();
-    let (started_at, mut sent, mut last) = (Instant::now(), 0, (0, Instant::now()));
-    while last.1.elapsed() < Duration::from_millis(300) || last.0 == 0 {
-        assert!(started_at.elapsed() < TEST_TIMEOUT, "{} of {REQUESTS} were accepted", last.0);
-        sent += client.write(&requests[sent..]).unwrap_or(0);
+    let (started_at, mut sent_bytes, mut last_progress) = (Instant::now(), 0, (0, Instant::now()));
+    while last_progress.1.elapsed() < Duration::from_millis(300) || last_progress.0 == 0 {
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "{} of {REQUESTS} were accepted", last_progress.0);
+        sent_bytes += client.write(&requests[sent_bytes..]).unwrap_or(0);
         let accepted = accepted_count();
-        if accepted > last.0 {
-            last = (accepted, Instant::now());
+        if accepted > last_progress.0 {
+            last_progress = (accepted, Instant::now());
         }
         sleep(Duration::from_millis(5));
     }
-    assert!(last.0 < REQUESTS, "the kernel buffered all responses: the test shows nothing");
+    assert!(last_progress.0 < REQUESTS, "the kernel buffered all responses: the test shows nothing");
     reset_connection(client);
     program.wait_for_log("code=\"withdrawn\"", 1);
-    let (sent_id, unsent_id) = (format!("w{}", last.0 - 2), format!("w{}", last.0 - 1));
+    let (answered_id, unanswered_id) =
+        (format!("w{}", last_progress.0 - 2), format!("w{}", last_progress.0 - 1));
     let log = program.log();
     let withdrawn: Vec<&str> = log.lines().filter(|entry| entry.contains("code=\"withdrawn\"")).collect();
-    assert!(withdrawn.len() == 1 && withdrawn[0].contains(&format!("id=\"{unsent_id}\"")), "{withdrawn:?}");
+    assert!(
+        withdrawn.len() == 1 && withdrawn[0].contains(&format!("id=\"{unanswered_id}\"")),
+        "{withdrawn:?}"
+    );
     // Only the webhook whose response cannot have been received is new when it is submitted again.
-    for (id, new_count) in [(sent_id, 0), (unsent_id, 1)] {
+    for (id, new_count) in [(answered_id, 0), (unanswered_id, 1)] {
         let before = accepted_count();
         assert_eq!(program.submit_webhook("idem", &id, 60_000, b""), 202);
         assert_eq!(accepted_count() - before, new_count, "{id}");
