--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -126,7 +126,7 @@
     (length >= FRAME_OVERHEAD - FRAME_PREFIX_LENGTH).then_some(FRAME_PREFIX_LENGTH + length)
 }
 
-/// Decodes a whole frame; `None` if it is incomplete or its checksum does not match.
+/// Decodes a whole frame; `None` if its length or checksum does not match, or its fields are invalid.
 pub(crate) fn decode_frame(frame: &[u8]) -> Option<Record<'_>> {
     let mut rest = frame;
     let length = u32::from_le_bytes(take_array(&mut rest)?) as usize;
--- a/crates/store/src/planner.rs
+++ b/crates/store/src/planner.rs
@@ -10,12 +10,13 @@
 
 /// Minimum bytes scanned by compaction for each appended byte.
 pub const MIN_SCAN_RATIO: u64 = 8;
-/// Minimum bytes that one compaction step may scan.
+/// Minimum of the limit on the bytes that one compaction step scans.
 pub const MIN_STEP_BYTES: u64 = 64 * 1024;
-/// Minimum number of records that one compaction step may scan.
+/// Minimum of the limit on the records that one compaction step scans.
 pub const MIN_STEP_RECORDS: usize = 256;
-/// Maximum bytes that one compaction step may scan. If more than this divided by [`MIN_SCAN_RATIO`] is
-/// appended between two steps, an append to a full log runs compaction until its record fits.
+/// Maximum of the limit on the bytes that one compaction step scans. If more than this divided by
+/// [`MIN_SCAN_RATIO`] is appended between two steps, an append to a full log runs compaction until its record
+/// fits.
 const MAX_STEP_BYTES: u64 = 1024 * 1024;
 /// Unit in which the file system allocates space.
 const BLOCK_BYTES: u64 = 4096;
@@ -84,8 +85,8 @@
         self.limit_enforced = limit_enforced;
     }
 
-    /// Returns the size, including the checkpoint, at which a segment is sealed. Only a segment with a single
-    /// larger record exceeds it.
+    /// Returns the size, including the checkpoint, up to which records are appended to a segment. Only a segment
+    /// with a single larger record, or one written under a higher disk limit, exceeds it.
     pub fn target_segment_bytes(&self) -> u64 {
         (self.limit_bytes / SEGMENTS_PER_LIMIT).clamp(MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES)
     }
@@ -193,8 +194,8 @@
             <= compaction_threshold - compaction_threshold / MIN_SCAN_RATIO
     }
 
-    /// Returns whether the oldest segment should be compacted: enough records are dead, or the log is close
-    /// to its limit.
+    /// Returns whether the oldest segment should be compacted: the log is not small and more than half of it is
+    /// dead, or the log is close to its limit and more than one part in [`MIN_SCAN_RATIO`] of it is dead.
     pub fn compaction_due(&self) -> bool {
         let used_bytes = self.used_bytes();
         let dead_bytes = used_bytes.saturating_sub(self.live_bytes);
--- a/crates/store/src/store/compaction.rs
+++ b/crates/store/src/store/compaction.rs
@@ -157,8 +157,8 @@
         Ok(())
     }
 
-    /// Copies the remaining live records by their indexed positions. Used when a damaged length field makes
-    /// it impossible to find the following frames.
+    /// Copies the remaining live records by their indexed positions. Used when a damaged frame makes it
+    /// impossible to follow the frames to the end of the segment.
     fn copy_remaining_by_position(&mut self, segment_id: u32) -> io::Result<()> {
         let name = frame::segment_name(segment_id);
         let in_segment = |(key, entry): (&u64, &IndexEntry)| {
--- a/crates/store/src/store/open.rs
+++ b/crates/store/src/store/open.rs
@@ -29,7 +29,7 @@
 /// Figures about opening a store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OpenSummary {
-    /// Bytes of incomplete records that were dropped.
+    /// Bytes of incomplete or damaged records that were dropped.
     pub torn_bytes: u64,
     /// Bytes that were read from segments.
     pub read_bytes: u64,
