--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -31,7 +31,8 @@
     pub hash: u64,
 }
 
-/// The kinds of faults that a hunt draws from, with the smallest and largest size.
+/// The kinds of faults that a hunt draws from, with the smallest and largest size. What a size means depends on
+/// the kind; see [`FaultKind`].
 const FAULT_KINDS: [(FaultKind, f64, f64); 22] = [
     (FaultKind::Down, 0.0, 0.0),
     (FaultKind::Silent, 0.0, 0.0),
@@ -91,7 +92,7 @@
     }
     world.senders.count = rng.random_range(1..=world.senders.count);
     world.faults.iter_mut().for_each(|fault| fault.target.senders.retain(|s| *s < world.senders.count));
-    // In half of the cases times are rounded to a grid, so that many events happen at one instant, in
+    // In half of the cases times are rounded up to a grid, so that many events happen at one instant, in
     // shuffled order.
     if rng.random::<bool>() {
         (world.day.tick_us, world.day.shuffle_seed) =
@@ -181,8 +182,8 @@
     experiment: Experiment, found: &DayOutcome, goal: Goal,
 ) -> Result<(Experiment, DayOutcome, u64), String> {
     let (mut smallest, mut smallest_outcome, mut simulated_days) = (experiment, found.clone(), 0);
-    // Each step removes a good part, so a few dozen steps are usual; the bound guards against an endless
-    // loop.
+    // Each step makes the experiment smaller by a part, so a few dozen steps are usual; the bound guards
+    // against an endless loop.
     for _ in 0..200 {
         let mut next = None;
         for candidate in smaller_experiments(&smallest) {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -22,7 +22,8 @@
 ///
 /// A day is one simulation of an experiment with one seed.
 ///
-/// Exit codes: 0 success, 1 a rule was broken or days differ, 2 a file could not be read, written or used.
+/// Exit codes: 0 success, 1 a rule was broken or days differ, 2 an argument was wrong, a file could not be read
+/// or written, or an experiment could not be simulated.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 enum Command {
@@ -32,7 +33,7 @@
         /// The first seed [default: the one in the file]
         #[bpaf(long, argument("N"))]
         seed: Option<u64>,
-        /// How many seeds
+        /// How many seeds [default: the number in the file, or 1 if --seed is given]
         #[bpaf(long, argument("N"))]
         seeds: Option<u64>,
         /// The policy: module, random, round-robin, least-outstanding, two-choices, straight
@@ -68,7 +69,7 @@
     /// Simulate two policies with the same seeds and print the mean differences with confidence intervals
     #[bpaf(command)]
     Compare {
-        /// How many seeds
+        /// How many seeds [default: the number in the file, at least 10]
         #[bpaf(long, argument("N"))]
         seeds: Option<u64>,
         /// The policy to compare with [default: the baseline in the file]
@@ -237,7 +238,7 @@
             let (experiment, _) = read_experiment(&file)?;
             let other_policy = with.unwrap_or_else(|| experiment.baseline.clone());
             check_policy(&other_policy)?;
-            // With fewer than ten pairs the intervals are too wide to tell anything.
+            // With fewer than ten pairs the intervals are too wide to say much.
             let count = seeds.unwrap_or(experiment.seeds.max(10));
             let mut tasks = Vec::new();
             for seed in experiment.seed..experiment.seed + count {
@@ -390,7 +391,8 @@
     Ok((field.trim().into(), value))
 }
 
-/// Simulates the days, writes and prints their results, and plots them.
+/// Simulates the days, writes and prints their results, and plots them. Fails without plots if Little's law
+/// does not hold on a day.
 fn run_and_save(
     experiment: &Experiment, tasks: Vec<DayTask>, sequential: bool, out: &Path,
 ) -> Result<Vec<DayResult>, String> {
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -55,19 +55,22 @@
     pub worst_window: f64,
     /// The median latency from first hand-in to delivery.
     pub p50_ms: f64,
+    /// The 99th percentile of that latency.
     pub p99_ms: f64,
     pub delivered: u64,
     pub rejected: u64,
     pub dead_lettered: u64,
     pub attempts: u64,
-    /// The most webhooks that all senders had queued at once.
+    /// The most webhooks without a final answer at all senders at once, queued or in flight.
     #[serde(rename = "held_most")]
     pub peak_queued: u64,
     /// Inputs that the policies handled.
     pub inputs: u64,
+    /// Microseconds that the policies took for an input.
     pub us_per_input: f64,
     /// Microseconds for the slowest input, endpoint lists excepted.
     pub slowest_us: f64,
+    /// Milliseconds for the slowest endpoint list.
     pub slowest_list_ms: f64,
     /// Simulated events per second of this machine's time.
     pub events_per_s: f64,
--- a/crates/lab/src/simulate.rs
+++ b/crates/lab/src/simulate.rs
@@ -1,4 +1,4 @@
-//! Simulates days, one or many in parallel, and measures the processor time that the policies took.
+//! Simulates days, one or many in parallel, and measures the elapsed time that the policies took.
 
 use crate::experiment::Experiment;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -135,7 +135,8 @@
     pub latency_ms: Vec<(f64, f64)>,
     pub counts: Counts,
     pub windows: Vec<Window>,
-    /// Whether Little's law holds for the simulated queues; if it does not, the model is wrong.
+    /// Whether Little's law holds at the endpoints, in their queues and at the senders; if it does not, the
+    /// model is wrong.
     pub little_holds: bool,
     #[serde(rename = "broken")]
     pub violations: Vec<Violation>,
