--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -31,8 +31,8 @@
     pub hash: u64,
 }
 
-/// The kinds of faults that a hunt draws from, with the smallest and largest size. What a size means depends on
-/// the kind; see [`FaultKind`].
+/// The kinds of faults that a hunt draws from, with the smallest and largest size. What a size means depends
+/// on the kind; see [`FaultKind`].
 const FAULT_KINDS: [(FaultKind, f64, f64); 22] = [
     (FaultKind::Down, 0.0, 0.0),
     (FaultKind::Silent, 0.0, 0.0),
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -22,8 +22,8 @@
 ///
 /// A day is one simulation of an experiment with one seed.
 ///
-/// Exit codes: 0 success, 1 a rule was broken or days differ, 2 an argument was wrong, a file could not be read
-/// or written, or an experiment could not be simulated.
+/// Exit codes: 0 success, 1 a rule was broken or days differ, 2 an argument was wrong, a file could not be
+/// read or written, or an experiment could not be simulated.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 enum Command {
--- a/crates/store/src/planner.rs
+++ b/crates/store/src/planner.rs
@@ -85,8 +85,8 @@
         self.limit_enforced = limit_enforced;
     }
 
-    /// Returns the size, including the checkpoint, up to which records are appended to a segment. Only a segment
-    /// with a single larger record, or one written under a higher disk limit, exceeds it.
+    /// Returns the size, including the checkpoint, up to which records are appended to a segment. Only a
+    /// segment with a single larger record, or one written under a higher disk limit, exceeds it.
     pub fn target_segment_bytes(&self) -> u64 {
         (self.limit_bytes / SEGMENTS_PER_LIMIT).clamp(MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES)
     }
@@ -194,8 +194,8 @@
             <= compaction_threshold - compaction_threshold / MIN_SCAN_RATIO
     }
 
-    /// Returns whether the oldest segment should be compacted: the log is not small and more than half of it is
-    /// dead, or the log is close to its limit and more than one part in [`MIN_SCAN_RATIO`] of it is dead.
+    /// Returns whether the oldest segment should be compacted: the log is not small and more than half of it
+    /// is dead, or the log is close to its limit and more than one part in [`MIN_SCAN_RATIO`] of it is dead.
     pub fn compaction_due(&self) -> bool {
         let used_bytes = self.used_bytes();
         let dead_bytes = used_bytes.saturating_sub(self.live_bytes);
