--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -82,7 +82,8 @@
     zones: Vec<String>,
 }
 
-/// What the rate of an endpoint in the list means.
+/// What the rate of an endpoint in the list means. With all values but `None` it is used as the rate limit of
+/// the endpoint's destination.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum ListedRates {
@@ -93,7 +94,7 @@
     Live,
 }
 
-/// The costs of routes to endpoints.
+/// The costs of routes to endpoints. They have no unit: only their order matters.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct RouteCosts {
@@ -113,9 +114,9 @@
     connect_timeout_ms: Option<f64>,
     max_attempts: u32,
     max_retry_after_ms: Option<f64>,
-    /// Accepted webhooks without a final answer, at most.
+    /// Open webhooks (accepted ones without a final answer) at most.
     #[serde(rename = "open-cap")]
-    max_pending: usize,
+    max_open: usize,
     /// Clients heed a `Retry-After` header.
     #[serde(rename = "retry-after", default)]
     heeds_retry_after: bool,
@@ -179,18 +180,20 @@
 struct DeliverySettings {
     /// The maximum number of webhooks in one call, by the position of the destination kind.
     #[serde(rename = "bundle-max", default)]
-    max_batches: Vec<usize>,
-    /// `by_half` if the value of a late webhook halves with each further target latency.
+    max_batch_sizes: Vec<usize>,
+    /// `by_half` if the value of a late webhook halves with each further target latency; otherwise it falls
+    /// linearly until the TTL ends.
     #[serde(rename = "decay")]
     value_decay: Option<String>,
-    /// Whether the endpoints of a destination are independent, by the position of the destination kind.
+    /// Whether the endpoints of a destination are independent (each has rate limits and outages of its own),
+    /// by the position of the destination kind.
     #[serde(rename = "routes-apart", default)]
     independent_endpoints: Vec<bool>,
     /// Calls in flight at most.
     slots: usize,
 }
 
-/// A customer with its quota of webhooks per second.
+/// A customer with its quota of webhooks per second, from all senders together.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct Customer {
@@ -206,7 +209,7 @@
     channel: String,
 }
 
-/// Rules for list requests, cold destinations and ordering keys.
+/// Rules for list requests, cold destinations (just started or back from an outage) and ordering keys.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct TimingRules {
@@ -216,7 +219,7 @@
     /// The share of its capacity that a cold destination has at first.
     #[serde(rename = "cold-from")]
     cold_initial_share: Option<f64>,
-    /// How long a destination is cold.
+    /// How long a destination is cold; its capacity grows meanwhile.
     #[serde(rename = "cold-ms")]
     cold_warm_up_ms: Option<f64>,
     /// The multiple of its capacity at which a destination fails.
@@ -302,7 +305,7 @@
         require("settings.instances", settings.sender_count > 0, "must be greater than zero")?;
         require("settings.classes", !settings.event_types.is_empty(), "must name at least one event type")?;
         require("settings.family-info.slots", settings.delivery.slots > 0, "must be greater than zero")?;
-        require("settings.caps.open-cap", settings.call_limits.max_pending > 0, "must be greater than zero")?;
+        require("settings.caps.open-cap", settings.call_limits.max_open > 0, "must be greater than zero")?;
         require(
             "settings.caps.max-attempts",
             settings.call_limits.max_attempts > 0,
@@ -387,7 +390,7 @@
             );
         }
         for (index, destination_kind) in settings.destination_kinds.iter().enumerate() {
-            let max_batch = settings.delivery.max_batches.get(index).copied().unwrap_or(1);
+            let max_batch = settings.delivery.max_batch_sizes.get(index).copied().unwrap_or(1);
             let independent = settings.delivery.independent_endpoints.get(index).copied().unwrap_or(false);
             sender.set_destination_kind(destination_kind, max_batch, independent);
         }
@@ -401,7 +404,7 @@
         }
         sender.set_limits(
             settings.delivery.slots,
-            settings.call_limits.max_pending,
+            settings.call_limits.max_open,
             settings.call_limits.max_attempts,
             settings.call_limits.may_cancel,
         );
@@ -428,9 +431,9 @@
         sender.set_key_cooldown(seconds_or(settings.timing.key_cooldown_ms, 0.0));
     }
 
-    /// The maximum numbers of calls in flight and of pending webhooks, and the number of senders.
+    /// The maximum numbers of calls in flight and of open webhooks, and the number of senders.
     pub fn capacity(&self) -> (usize, usize, u64) {
-        (self.settings.delivery.slots, self.settings.call_limits.max_pending, self.settings.sender_count)
+        (self.settings.delivery.slots, self.settings.call_limits.max_open, self.settings.sender_count)
     }
 
     /// True if the endpoint list has to be pulled from the platform, false if it is pushed.
@@ -471,7 +474,7 @@
         let position =
             self.settings.destination_kinds.iter().position(|known_kind| known_kind == destination_kind);
         position
-            .and_then(|index| self.settings.delivery.max_batches.get(index))
+            .and_then(|index| self.settings.delivery.max_batch_sizes.get(index))
             .map_or(1, |max_batch| (*max_batch).max(1))
     }
 
